--- a/job/job.go
+++ b/job/job.go
@@ -1,5 +1,5 @@
-// Package job holds what a job is: its steps and tasks as callers hand them in,
-// the names of tasks and runs, and the record that the store keeps of it.
+// Package job defines jobs: their steps and tasks as callers submit them, the names of
+// tasks and runs, and the records that the store keeps.
 package job
 
 import (
@@ -13,13 +13,13 @@
 
 // Errors of this package.
 var (
-	// ErrInvalid says that a submission can't be run as it stands.
+	// ErrInvalid reports a submission that can't be run.
 	ErrInvalid = eris.New("job: invalid submission")
-	// ErrRecord says that a stored record can't be read.
+	// ErrRecord reports a stored record that can't be read.
 	ErrRecord = eris.New("job: unreadable record")
 )
 
-// Bounds of a submission.
+// Limits on a submission.
 const (
 	MaxSpecBytes = 4000
 	MaxSteps     = 100
@@ -29,7 +29,7 @@
 // ID is the caller's name for a job.
 type ID string
 
-// State is what callers are told of a job.
+// State is the state of a job as reported to callers.
 type State string
 
 // The states of a job.
@@ -41,13 +41,13 @@
 	StateCancelled State = "cancelled"
 )
 
-// Final says whether a job in this state never changes again.
+// Final reports whether a job in this state never changes again.
 func (s State) Final() bool {
 	return s == StateCompleted || s == StateFailed || s == StateCancelled
 }
 
-// TaskName names a task of a job: the task with this index of a step of the
-// time-th run of the job.
+// TaskName identifies a task by its step, its index within the step, and the number of
+// the job's run.
 type TaskName struct {
 	Job   ID
 	Time  int
@@ -55,76 +55,75 @@
 	Index int
 }
 
-// RunName names one start of a task. Runs of a task rise from 1.
+// RunName identifies a run of a task. The numbers of a task's runs increase from 1.
 type RunName struct {
 	TaskName
 	Run int
 }
 
-// Resources are what a task takes or an executor has. CPU is in thousandths of
-// a core, memory in MB.
+// Resources are what a task needs or a target has. CPU is in thousandths of a core,
+// Memory in MB.
 type Resources struct {
 	CPU    int `json:"cpu,omitempty"`
 	Memory int `json:"memory,omitempty"`
 	GPU    int `json:"gpu,omitempty"`
 }
 
-// Fits says whether need fits into r.
+// Fits reports whether need fits into r.
 func (r Resources) Fits(need Resources) bool {
 	return need.CPU <= r.CPU && need.Memory <= r.Memory && need.GPU <= r.GPU
 }
 
-// Plus returns the sum.
+// Plus returns the sum of r and o.
 func (r Resources) Plus(o Resources) Resources {
 	return Resources{CPU: r.CPU + o.CPU, Memory: r.Memory + o.Memory, GPU: r.GPU + o.GPU}
 }
 
-// Minus returns the difference.
+// Minus returns the difference of r and o.
 func (r Resources) Minus(o Resources) Resources {
 	return Resources{CPU: r.CPU - o.CPU, Memory: r.Memory - o.Memory, GPU: r.GPU - o.GPU}
 }
 
-// Step is a set of like tasks.
+// Step is a set of identical tasks.
 type Step struct {
 	Count int `json:"count"`
-	// Need is what each task takes.
+	// Need is what each task needs.
 	Need Resources `json:"need"`
-	// EstimateMS is the caller's rough guess of a task's run time.
+	// EstimateMS is the caller's rough estimate of a task's run time.
 	EstimateMS int `json:"estimate_ms,omitempty"`
-	// After are the steps whose tasks must all be done before.
+	// After are the indexes of earlier steps whose tasks must all be done first.
 	After []int `json:"after,omitempty"`
-	// Label is one that the executor must have.
+	// Label is a label that the target must have.
 	Label string `json:"label,omitempty"`
-	// Rack is the rack that holds the data.
+	// Rack is the preferred rack, which holds the data.
 	Rack string `json:"rack,omitempty"`
-	// Spread is the most tasks of the step on one executor; 0 for no bound.
+	// Spread is the maximum number of the step's tasks on one target; 0 for no limit.
 	Spread int `json:"spread,omitempty"`
-	// Checkpointing tasks can go on from where they were stopped.
+	// Checkpointing is set if tasks can resume from where they were stopped.
 	Checkpointing bool `json:"checkpointing,omitempty"`
 }
 
-// Queue is what the configuration says of the jobs of one kind.
+// Queue is the configuration of a queue, copied into each of its jobs.
 type Queue struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
-	// Priority 0 comes first.
+	// Priority orders the queues; 0 is the highest priority.
 	Priority int `json:"priority,omitempty"`
-	// Attempts is how many runs of a task may fail before its job has failed.
+	// Attempts is the number of failed runs of a task at which its job fails.
 	Attempts int `json:"attempts"`
-	// A job's objective is Stretch times its longest chain of work plus
-	// TargetLatencyMS.
+	// A job's objective is Stretch times its critical path plus TargetLatencyMS.
 	Stretch         float64 `json:"stretch,omitempty"`
 	TargetLatencyMS int     `json:"target_latency_ms,omitempty"`
 	TimeoutMS       int     `json:"timeout_ms,omitempty"`
 }
 
-// Submission is a job as its caller hands it in.
+// Submission is a job as its caller submits it.
 type Submission struct {
 	ID    ID     `json:"id"`
 	Queue Queue  `json:"queue"`
 	Spec  string `json:"spec"`
 	Steps []Step `json:"steps"`
-	// BestEffort jobs are not kept: their caller waits for the end.
+	// BestEffort jobs are not stored: their caller waits for the end.
 	BestEffort bool `json:"best_effort,omitempty"`
 }
 
@@ -164,7 +163,7 @@
 	return nil
 }
 
-// TaskCount returns the number of tasks.
+// TaskCount returns the number of tasks of all steps.
 func (s *Submission) TaskCount() int {
 	n := 0
 	for i := range s.Steps {
@@ -178,21 +177,20 @@
 	Submission
 	// Owner is the incarnation that gives orders for the job.
 	Owner string `json:"owner"`
-	// Generation counts the owners; it sets the range of the run numbers.
+	// Generation counts the owners and sets the range of the run numbers.
 	Generation int `json:"generation"`
-	// Sequence counts the writes, so that each value is unlike any other.
+	// Sequence counts the writes, so that no two values are equal.
 	Sequence uint64 `json:"sequence"`
-	// AcceptedMS is the time of acceptance on the acceptor's clock, in
-	// milliseconds since 1970; for operators only.
+	// AcceptedMS is the wall-clock time of acceptance in milliseconds since 1970. It is
+	// informational only.
 	AcceptedMS int64 `json:"accepted_ms"`
-	// Done has the run that ended well of each task that is done, by the number
-	// of the task in the order of steps.
+	// Done maps each done task, numbered over all steps, to the run that completed it.
 	Done map[int]int `json:"done,omitempty"`
-	// Failed has the runs that ended failed, by task.
+	// Failed maps tasks to their failed runs.
 	Failed map[int][]int `json:"failed,omitempty"`
 }
 
-// runsPerGeneration is the range of run numbers of one owner of a job.
+// runsPerGeneration is the size of the range of run numbers for each owner of a job.
 const runsPerGeneration = 1000
 
 // FirstRun returns the lowest run number of an owner's generation.
@@ -202,13 +200,13 @@
 func (r *Record) Encode() []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
-		// A record holds nothing that can't be encoded.
+		// A record holds only types that can be encoded.
 		panic(fmt.Sprintf("job: %v", err))
 	}
 	return b
 }
 
-// DecodeRecord reads a stored form.
+// DecodeRecord decodes and checks a stored record.
 func DecodeRecord(b []byte) (*Record, error) {
 	r := new(Record)
 	if err := json.Unmarshal(b, r); err != nil {
@@ -223,13 +221,12 @@
 	return r, nil
 }
 
-// mostGeneration bounds the owners that a job may have had: each has a range of run
-// numbers.
-const mostGeneration = 1 << 20
+// maxGeneration bounds the number of owners that a job may have had.
+const maxGeneration = 1 << 20
 
-// checkEnds checks what a record says of runs.
+// checkEnds checks the generation and the runs of a record.
 func (r *Record) checkEnds() error {
-	if r.Generation < 0 || r.Generation > mostGeneration {
+	if r.Generation < 0 || r.Generation > maxGeneration {
 		return eris.Wrapf(ErrRecord, "generation %d", r.Generation)
 	}
 	tasks := r.TaskCount()
@@ -246,18 +243,18 @@
 	return nil
 }
 
-// HasEnds says whether the record has an end of a run.
+// HasEnds reports whether the record holds the end of any run.
 func (r *Record) HasEnds() bool {
 	return len(r.Done) > 0 || len(r.Failed) > 0
 }
 
-// IsDone says whether a task is done.
+// IsDone reports whether a task is done.
 func (r *Record) IsDone(task int) bool {
 	_, ok := r.Done[task]
 	return ok
 }
 
-// SetDone notes the run by which a task is done.
+// SetDone records the run that completed a task.
 func (r *Record) SetDone(task, run int) {
 	if r.Done == nil {
 		r.Done = map[int]int{}
@@ -265,7 +262,8 @@
 	r.Done[task] = run
 }
 
-// AddFailure notes a failed run of a task, once.
+// AddFailure records a failed run of a task. It does nothing if the run is recorded
+// already.
 func (r *Record) AddFailure(task, run int) {
 	if slices.Contains(r.Failed[task], run) {
 		return
@@ -280,13 +278,13 @@
 type Final struct {
 	Queue string `json:"queue"`
 	State State  `json:"state"`
-	// EndedMS is the time of the end in milliseconds since 1970.
+	// EndedMS is the wall-clock time of the end in milliseconds since 1970.
 	EndedMS int64 `json:"ended_ms"`
-	// Done is the record's, of the tasks that were done.
+	// Done is copied from the record.
 	Done map[int]int `json:"done,omitempty"`
 	// Steps are the numbers of tasks of the steps.
 	Steps []int `json:"steps,omitempty"`
-	// Owner and Sequence make the value unlike any other.
+	// Owner and Sequence ensure that no two values are equal.
 	Owner    string `json:"owner"`
 	Sequence uint64 `json:"sequence"`
 }
@@ -300,7 +298,7 @@
 	return b
 }
 
-// DecodeFinal reads a stored form.
+// DecodeFinal decodes and checks a stored final record.
 func DecodeFinal(b []byte) (*Final, error) {
 	f := new(Final)
 	if err := json.Unmarshal(b, f); err != nil {
@@ -312,7 +310,7 @@
 	return f, nil
 }
 
-// Expired says whether a final record may be removed.
+// Expired reports whether a final record may be removed.
 func (f *Final) Expired(now time.Time, keep time.Duration) bool {
 	return now.UnixMilli()-f.EndedMS > keep.Milliseconds()
 }
--- a/job/record_test.go
+++ b/job/record_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Records of earlier versions may name fields that are gone: they are read all the same.
+// Records of earlier versions may have fields that no longer exist; these are ignored.
 func TestRecordWithUnknownField(t *testing.T) {
 	r := Record{Submission: Submission{
 		ID: "00000000000000aa", Spec: "spec",
@@ -28,8 +28,7 @@
 	}
 }
 
-// What is taken of a stored record says the same when it is written again, and speaks of
-// tasks that the job has.
+// A record that decodes encodes to an equal record and names only tasks of its job.
 func FuzzRecord(f *testing.F) {
 	f.Add([]byte(`{"steps":[{"count":-1}],"done":{"99999999":0}}`))
 	r := Record{Submission: Submission{ID: "5c0e7a21d94b36f8", Queue: Queue{Name: "q", Service: "a", Attempts: 2, Stretch: 1.6}, Steps: []Step{{Count: 3}}}, Owner: "entry-1~a"}
@@ -53,7 +52,7 @@
 	})
 }
 
-// Ends of tasks that the job does not have are not believed.
+// Records with ends of tasks that the job does not have are rejected.
 func TestRecordOfOtherTasks(t *testing.T) {
 	r := Record{Submission: Submission{ID: "5c0e7a21d94b36f8", Queue: Queue{Name: "q", Service: "a", Attempts: 2, Stretch: 1.6}, Steps: []Step{{Count: 3}}}, Owner: "entry-1~a"}
 	r.SetDone(2, 1)
@@ -70,7 +69,7 @@
 		bad.Done = map[int]int{2: 1}
 		change(&bad)
 		if _, err := DecodeRecord(bad.Encode()); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: decoded without an error", name)
 		}
 	}
 }
--- a/owner/admission.go
+++ b/owner/admission.go
@@ -6,54 +6,54 @@
 	"rackspur/job"
 )
 
-// Bounds of admission.
+// Parameters of admission.
 const (
-	// offerShare is the part of its objective that a job may wait while nothing of
-	// it was placed; then it is refused, while its caller can still go elsewhere.
-	// 0.16 to 0.24 were measured alike, 0.36 and more as worse in overload.
-	offerShare = 0.2
-	// finishShare is the part of a job's tasks that may be left for it to go on
-	// before others although it is late: most of its work would be lost.
-	finishShare = 0.25
-	// admitSlack is added to the slack of a new job when the backlog is judged.
+	// unplacedShare is the share of its objective that a best-effort job may wait with
+	// no task placed. It is then refused, while its caller can still submit it
+	// elsewhere.
+	unplacedShare = 0.2
+	// nearlyDoneShare is the largest share of a late job's tasks that may be left for
+	// the job to keep its place in the queue: most of the work done would be lost
+	// otherwise.
+	nearlyDoneShare = 0.25
+	// admitSlack is added to the slack of a new job when its expected wait is checked.
 	admitSlack = 20 * time.Millisecond
-	// linkGrace is how long jobs are let in while no gate is open.
+	// linkGrace is how long jobs are admitted while no gate is open.
 	linkGrace = time.Second
-	// priorityStep is by how much later the jobs of a queue count as due than
-	// those of the queue with the next higher priority: about the slack of a short
-	// job. 200 ms was measured as no better.
+	// priorityStep is how much later a job counts as due for each step down in
+	// priority: about the slack of a short job.
 	priorityStep = 100 * time.Millisecond
 )
 
-// admits says whether a new job can start in time, or what a policy says of it.
+// admits reports whether a new job can start in time, or what the policy decides.
 func (o *Owner) admits(now Time, j *liveJob) bool {
 	capacity, room := o.roomFor(j)
 	if capacity == 0 && o.allEvacuated(j.record.Queue.Service) {
-		// Waiting would not help: that is the operator's word, not a restart.
+		// An evacuation lasts until an operator ends it, so waiting would not help.
 		return false
 	}
 	if capacity == 0 {
-		// Gates are back within moments after a restart of this daemon or theirs.
-		return now-o.capacityAt < linkGrace
+		// Gates link again shortly after this process or theirs has restarted.
+		return now-o.lastOpen < linkGrace
 	}
-	o.capacityAt = now
+	o.lastOpen = now
 	if o.options.Policy != nil {
 		return o.admitsByPolicy(now, j, capacity)
 	}
 	if room >= j.need() {
 		return true
 	}
-	return now+o.expectedWait(j, capacity) <= min(j.startBy, j.offerBy())+admitSlack
+	return now+o.expectedWait(j, capacity) <= min(j.startBy, j.refuseAt())+admitSlack
 }
 
-// expectedWait is how long the work that waits ahead of a job takes on its part
-// of the capacity, in thousandths of a core.
+// expectedWait estimates how long a job waits for the queued work ahead of it. The
+// capacity is in thousandths of a core and shared with other owners.
 func (o *Owner) expectedWait(j *liveJob, capacity int) time.Duration {
-	return time.Duration(o.workAhead(j) / float64(capacity) * o.sharers() * float64(time.Second))
+	return time.Duration(o.workAhead(j) / float64(capacity) * o.ownersPerGate() * float64(time.Second))
 }
 
-// roomFor returns the capacity of the gates that a job may use and the room
-// that is free on them, in thousandths of a core.
+// roomFor returns the total and the free CPU of the gates that a job may use, in
+// thousandths of a core.
 func (o *Owner) roomFor(j *liveJob) (capacity, room int) {
 	for _, v := range o.usableGates() {
 		if v.report.Service != j.record.Queue.Service {
@@ -65,7 +65,8 @@
 	return capacity, room
 }
 
-// need returns what all tasks of the job take together, in thousandths of a core.
+// need returns the CPU that all tasks of the job need together, in thousandths of a
+// core.
 func (j *liveJob) need() int {
 	total := 0
 	for i := range j.record.Steps {
@@ -74,8 +75,8 @@
 	return total
 }
 
-// workAhead returns the work of this owner's waiting tasks that come before a
-// job's, in thousandths of core-seconds.
+// workAhead returns the work of the waiting tasks that come before a job's, in
+// thousandths of core-seconds.
 func (o *Owner) workAhead(j *liveJob) float64 {
 	ahead := 0.0
 	for _, t := range o.waiting.items {
@@ -86,9 +87,9 @@
 	return ahead
 }
 
-// before says whether a job's tasks are to start before another's: those that
-// can still be in time first, of these the ones that have begun, so that what
-// was done for them is not lost, then the more urgent.
+// before reports whether a job's tasks start before another's: those that are not late
+// come first, among them those that have tasks placed, so that work done is not lost,
+// and among these the more urgent.
 func (j *liveJob) before(other *liveJob) bool {
 	if j.late != other.late {
 		return !j.late
@@ -99,20 +100,20 @@
 	return j.urgency < other.urgency
 }
 
-// setUrgency sets the times by which a job's tasks are ordered.
+// setUrgency computes the times by which a job's tasks are ordered.
 func (j *liveJob) setUrgency() {
-	j.startBy = j.objective - j.chain()
+	j.startBy = j.objective - j.criticalPath()
 	j.urgency = j.startBy + time.Duration(j.record.Queue.Priority)*priorityStep
 }
 
-// SetEntries takes in how many owners share the executors.
+// SetEntries sets the number of owners that share the targets.
 func (o *Owner) SetEntries(n int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.entries = max(1, n)
+	o.owners = max(1, n)
 }
 
-// admitsSubmission says whether a job that is kept is let in.
+// admitsSubmission reports whether a durable job is admitted.
 func (o *Owner) admitsSubmission(now Time, s *job.Submission) bool {
 	j := newLiveJob(job.Record{Submission: *s}, now)
 	j.setUrgency()
--- a/owner/admission_test.go
+++ b/owner/admission_test.go
@@ -9,16 +9,16 @@
 	"rackspur/job"
 )
 
-// fill takes all room of a gate.
-func (b *bench) fill(name string, link uint64) {
+// fill reports a gate without free room.
+func (b *harness) fill(name string, link uint64) {
 	r := testReport()
 	r.Free = job.Resources{}
 	r.Queued = job.Resources{CPU: r.Capacity.CPU}
 	b.owner.OnFrame(name, link, gate.Frame{Clock: b.now, Report: r})
 }
 
-// submit hands in a best-effort job and returns its result, nil while it has none.
-func (b *bench) submit(id int, tasks int) *BestEffortResult {
+// submit submits a best-effort job and returns its result, or nil if it has none yet.
+func (b *harness) submit(id int, tasks int) *BestEffortResult {
 	result := new(*BestEffortResult)
 	b.owner.RunBestEffort(testSubmission(job.ID(fmt.Sprintf("%016x", id)), tasks), time.Minute, func(r BestEffortResult) { *result = &r })
 	if *result != nil {
@@ -28,13 +28,13 @@
 }
 
 func TestAdmission(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	if r := b.submit(1, 1); r != nil {
-		t.Errorf("answered %+v while the gates may be about to link", *r)
+		t.Errorf("answered %+v within linkGrace", *r)
 	}
 	b.now += linkGrace
 	if r := b.submit(3, 1); r == nil || !r.Refused {
-		t.Error("taken though there is no gate for long")
+		t.Error("accepted though no gate has been open for linkGrace")
 	}
 	link := b.connect("gate-1")
 	if r := b.submit(2, 1); r != nil {
@@ -48,20 +48,21 @@
 		}
 	}
 	if taken == 0 || taken == 200 {
-		t.Errorf("%d of 200 jobs taken with a full gate, want those that can start in time", taken)
+		t.Errorf("%d of 200 jobs accepted with a full gate, want those that can start in time", taken)
 	}
 }
 
-// A job of which nothing was placed is refused, truly, before it has waited long.
+// A job of which no task was placed is refused before it has waited for long, and
+// nothing of it starts afterwards.
 func TestRefusedWhileUntried(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	link := b.connect("gate-1")
 	b.fill("gate-1", link)
 	var got *BestEffortResult
 	s := testSubmission("00000000000000aa", 8)
 	b.owner.RunBestEffort(s, time.Minute, func(r BestEffortResult) { got = &r })
 	if got != nil {
-		t.Fatalf("answered %+v at once", *got)
+		t.Fatalf("answered %+v on arrival", *got)
 	}
 	objective := 220 * time.Millisecond
 	for b.now < time.Second+2*objective && got == nil {
@@ -80,10 +81,10 @@
 	}
 }
 
-// Jobs that are not kept need no lease in the store: they go on in its outage.
+// Best-effort jobs need no lease in the store, so they run during its outage.
 func TestBestEffortWithoutLease(t *testing.T) {
-	b := newBench(t)
-	b.owner.validUntil = 0
+	b := newHarness(t)
+	b.owner.leaseUntil = 0
 	link := b.connect("gate-1")
 	if r := b.submit(1, 1); r != nil {
 		t.Fatalf("answered %+v", *r)
@@ -96,17 +97,17 @@
 		t.Errorf("echo %v, kept echo %v; want only the first", f.Echo, f.KeptEcho)
 	}
 	refused := false
-	kept := testSubmission("00000000000000bb", 1)
-	kept.BestEffort = false
-	b.owner.Submit(kept, func(r SubmitResult) { refused = r == SubmitRefused })
+	durable := testSubmission("00000000000000bb", 1)
+	durable.BestEffort = false
+	b.owner.Submit(durable, func(r SubmitResult) { refused = r == SubmitRefused })
 	if !refused {
-		t.Error("a job that is kept was taken without a lease")
+		t.Error("a durable job was accepted without a lease")
 	}
 }
 
-// Jobs that can't be in time come after those that can.
+// Jobs that can't end in time come after those that can.
 func TestLateJobsWait(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	link := b.connect("gate-1")
 	b.fill("gate-1", link)
 	b.submit(1, 8)
--- a/owner/ask.go
+++ b/owner/ask.go
@@ -7,8 +7,8 @@
 	"rackspur/job"
 )
 
-// State returns the state of a job that this owner knows; ok is false if it
-// does not, or is not sure.
+// State returns the state of a job; ok is false if the job is unknown here or the owner
+// is not active.
 func (o *Owner) State(id job.ID) (job.State, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -26,9 +26,9 @@
 	return j.state(), true
 }
 
-// AwaitEnd returns the state of a job as State does, and waits for the job's end:
-// patience long for any job, and as long as the context allows once its end is
-// being written.
+// AwaitEnd waits for the end of a job and returns its state as State does. It waits up
+// to patience, or until the context ends if the end of the job is being written by
+// then.
 func (o *Owner) AwaitEnd(ctx context.Context, id job.ID, patience time.Duration) (job.State, bool) {
 	ended, ok := o.endOf(id)
 	if !ok {
@@ -43,7 +43,7 @@
 	return o.State(id)
 }
 
-// await waits for an event, at most until the context ends.
+// await waits for an event or the end of the context.
 func await(ctx context.Context, event <-chan struct{}) {
 	select {
 	case <-event:
@@ -51,8 +51,8 @@
 	}
 }
 
-// endOf returns a channel that is closed at the end of a job; ok is false if the
-// job has ended or is not known.
+// endOf returns a channel that is closed when a job ends; ok is false if the job has
+// ended or is unknown.
 func (o *Owner) endOf(id job.ID) (ended <-chan struct{}, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -65,7 +65,7 @@
 	return wait, true
 }
 
-// ending says whether the end of a job is being written.
+// ending reports whether the end of a job is being written.
 func (o *Owner) ending(id job.ID) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -73,8 +73,8 @@
 	return j != nil && j.phase == jobEnding
 }
 
-// Cancel cancels a job and calls done with whether its end is durable; known is
-// false if the job is not this owner's.
+// Cancel cancels a job and calls done with whether its end is durable; known is false
+// if the job is not this owner's.
 func (o *Owner) Cancel(id job.ID, done func(ok bool)) (known bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -98,17 +98,17 @@
 	return true
 }
 
-// Pending returns the number of jobs of a queue that wait here; see PendingByQueue.
+// Pending returns the number of pending jobs of a queue; see PendingByQueue.
 func (o *Owner) Pending(queue string) int { return o.PendingByQueue()[queue] }
 
-// PendingByQueue returns how many jobs of each queue were accepted and none of whose tasks
-// has begun. A job that is not kept is answered once it has ended, so it counts for none.
+// PendingByQueue returns, by queue, the number of accepted jobs of which no task has
+// started. Best-effort jobs don't count: they are answered only once they have ended.
 func (o *Owner) PendingByQueue() map[string]int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var pending map[string]int
 	for _, j := range o.jobs {
-		if j.record.BestEffort || j.phase == jobInserting || j.begun {
+		if j.record.BestEffort || j.phase == jobInserting || j.started {
 			continue
 		}
 		if pending == nil {
--- a/owner/ask_test.go
+++ b/owner/ask_test.go
@@ -11,12 +11,12 @@
 	"rackspur/rowstore"
 )
 
-// A question for the state of a job whose last task has ended waits until the end is
-// durable, however short its patience with other jobs is. Time is virtual.
+// AwaitEnd on a job whose last task has ended waits until the end is durable, even
+// beyond its patience.
 func TestAwaitEndOfEndingJob(t *testing.T) {
 	tests := []struct {
 		name string
-		// ended says that the job's task has ended.
+		// ended is set if the job's task has ended.
 		ended bool
 		// written is how long the final write takes.
 		written time.Duration
@@ -30,8 +30,8 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t)
-				id := b.runKept(test.ended)
+				b := newHarness(t)
+				id := b.runDurable(test.ended)
 				durable := make(chan struct{})
 				if test.ended {
 					final := b.writer.take()
@@ -55,8 +55,8 @@
 	}
 }
 
-// runKept has a job of one task that is kept run, and maybe end, on a gate.
-func (b *bench) runKept(end bool) job.ID {
+// runDurable runs a durable job of one task on a gate, and ends its run if end is set.
+func (b *harness) runDurable(end bool) job.ID {
 	b.t.Helper()
 	link := b.connect("gate-1")
 	s := testSubmission("0000000000000001", 1)
--- a/owner/besteffort.go
+++ b/owner/besteffort.go
@@ -6,28 +6,27 @@
 	"rackspur/job"
 )
 
-// BestEffortResult is the final answer to a job that is not kept.
+// BestEffortResult is the final answer to the caller of a best-effort job.
 type BestEffortResult struct {
-	// State is completed or failed; empty if the job was not brought to an end.
+	// State is completed or failed; empty if the job was given up.
 	State job.State
-	// Refused says that no task of the job has run or will run.
+	// Refused is set if no task of the job has run or will run.
 	Refused bool
 }
 
-// caller waits for the end of a job that is not kept.
+// caller waits for the end of a best-effort job.
 type caller struct {
 	ticket uint64
 	result func(BestEffortResult)
 }
 
-// RunBestEffort runs a job that is not kept, at most as long as its caller
-// waits. The result is told once, maybe before RunBestEffort returns. The ticket
-// names the caller to Leave.
+// RunBestEffort runs a best-effort job for as long as its caller waits. It calls result
+// once, possibly before it returns. The ticket identifies the caller to Leave.
 func (o *Owner) RunBestEffort(s job.Submission, patience time.Duration, result func(BestEffortResult)) (ticket uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.options.Now()
-	o.heardFromOutside(now)
+	o.noteContact(now)
 	o.order++
 	c := caller{ticket: o.order, result: result}
 	if e := o.ended[s.ID]; e != nil {
@@ -40,8 +39,8 @@
 	}
 	j := newLiveJob(job.Record{Submission: s, Owner: o.options.Incarnation}, now)
 	j.setUrgency()
-	if o.over || !o.admits(now, j) {
-		o.tellRefused(now, j, "no hope at arrival")
+	if o.stopped || !o.admits(now, j) {
+		o.logRefused(now, j, "no hope at arrival")
 		result(BestEffortResult{Refused: true})
 		return c.ticket
 	}
@@ -55,8 +54,8 @@
 	return c.ticket
 }
 
-// Leave takes in that a caller no longer waits. A job without callers is
-// dropped. The caller is told its result if it was not told one yet.
+// Leave removes a caller that no longer waits and calls its result if that was not
+// called yet. A best-effort job without callers is dropped.
 func (o *Owner) Leave(id job.ID, ticket uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -67,7 +66,7 @@
 	for i, c := range j.callers {
 		if c.ticket == ticket {
 			j.callers = append(j.callers[:i], j.callers[i+1:]...)
-			c.result(j.undone())
+			c.result(j.unfinishedResult())
 			break
 		}
 	}
@@ -76,12 +75,12 @@
 	}
 }
 
-// undone is the answer for a job that is not brought to an end.
-func (j *liveJob) undone() BestEffortResult {
+// unfinishedResult returns the answer for a job that is given up.
+func (j *liveJob) unfinishedResult() BestEffortResult {
 	return BestEffortResult{Refused: !j.placed}
 }
 
-func (j *liveJob) tellCallers(r BestEffortResult) {
+func (j *liveJob) answerCallers(r BestEffortResult) {
 	for _, c := range j.callers {
 		c.result(r)
 	}
--- a/owner/busy.go
+++ b/owner/busy.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Busy says whether runs of the owner are at a gate, so that it must be in contact,
-// or something waits to be sent there.
+// Busy reports whether runs of the owner are at a gate, which requires contact with it,
+// or verdicts or stops wait to be sent to it.
 func (o *Owner) Busy(name string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -14,14 +14,14 @@
 	return v != nil && (v.busy || len(v.verdicts) > 0 || len(v.stops) > 0)
 }
 
-// HasRuns says whether a gate has runs of the owner, by the newest frames of both: it reports
-// often then.
+// HasRuns reports whether a gate has runs of the owner, according to the newest frames
+// in both directions.
 func (o *Owner) HasRuns(name string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, j := range o.jobs {
 		for _, t := range j.tasks {
-			if t.gate == name && t.atWork() {
+			if t.gate == name && t.hasOpenRun() {
 				return true
 			}
 		}
@@ -29,47 +29,48 @@
 	return false
 }
 
-// atWork says whether a run of the task was sent to a gate, and is not known to be over.
-func (t *task) atWork() bool { return t.phase == taskPlaced || t.phase == taskRunning }
+// hasOpenRun reports whether a run of the task was sent to a gate and is not known to
+// be over.
+func (t *task) hasOpenRun() bool { return t.phase == taskPlaced || t.phase == taskRunning }
 
-// reviewBusy looks at which gates runs are. While jobs are taken over any gate may
-// have runs of theirs.
-func (o *Owner) reviewBusy(now Time) {
-	if now-o.busyReviewed < busyPause {
+// updateBusy determines which gates have runs. During a take-over any gate may have
+// some.
+func (o *Owner) updateBusy(now Time) {
+	if now-o.busyUpdated < busyInterval {
 		return
 	}
-	o.busyReviewed = now
-	adopting := o.reading > 0 || o.adoptsJobs()
+	o.busyUpdated = now
+	adopting := o.pendingReads > 0 || o.adoptsJobs()
 	if adopting || o.allBusy {
 		o.allBusy = adopting
 		for _, v := range o.gates {
 			v.busy = adopting
 		}
 	}
-	for _, v := range o.near {
+	for _, v := range o.activeGates {
 		v.busy = adopting
 	}
 	for _, j := range o.jobs {
 		for _, t := range j.tasks {
-			if v := o.gates[t.gate]; v != nil && t.atWork() {
+			if v := o.gates[t.gate]; v != nil && t.hasOpenRun() {
 				v.busy = true
 			}
 		}
 	}
-	o.leaveFar()
+	o.pruneActive()
 }
 
-// busyPause is the time between two looks at which gates runs are.
-const busyPause = 100 * time.Millisecond
+// busyInterval is the minimum time between two updates of the busy flags.
+const busyInterval = 100 * time.Millisecond
 
-// Adopting says whether runs of jobs that are taken over may be at any gate.
+// Adopting reports whether runs of jobs that are being taken over may be at any gate.
 func (o *Owner) Adopting() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.adoptsJobs()
 }
 
-// adoptsJobs says whether jobs that are taken over wait for the word of gates.
+// adoptsJobs reports whether jobs that are being taken over wait for reports of gates.
 func (o *Owner) adoptsJobs() bool {
 	return slices.ContainsFunc(o.adoptions, func(a *adoption) bool { return len(a.jobs) > 0 })
 }
--- a/owner/busy_test.go
+++ b/owner/busy_test.go
@@ -7,18 +7,18 @@
 	"rackspur/gate"
 )
 
-// An owner stays in contact with the gates that have runs of it, from the moment
-// when they are sent until their ends are told.
+// A gate is busy from the moment when runs are sent there until their ends are
+// confirmed.
 func TestBusyWhileRunsAreThere(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	link := b.connect("gate-1")
 	b.connect("gate-2")
-	look := func() bool {
-		b.now += busyPause
+	busyAfterTick := func() bool {
+		b.now += busyInterval
 		b.owner.Tick()
 		return b.owner.Busy("gate-1")
 	}
-	if look() {
+	if busyAfterTick() {
 		t.Error("busy without runs")
 	}
 	b.owner.RunBestEffort(testSubmission("00000000000000aa", 12), time.Minute, func(BestEffortResult) {})
@@ -26,47 +26,47 @@
 		t.Fatal("not busy though runs were sent")
 	}
 	f := b.flush("gate-1", link)
-	if !look() {
-		t.Error("not busy while runs are there")
+	if !busyAfterTick() {
+		t.Error("not busy while the gate has runs")
 	}
 	var ends []gate.RunState
 	for _, s := range f.Starts {
 		ends = append(ends, gate.RunState{Name: s.Name, End: gate.EndDone})
 	}
 	b.owner.OnFrame("gate-1", link, gate.Frame{Clock: b.now, Received: f.Sequence, Report: testReport(), States: ends})
-	if !look() {
-		t.Error("not busy though verdicts wait to be sent")
+	if !busyAfterTick() {
+		t.Error("not busy though verdicts are to be sent")
 	}
 	b.flush("gate-1", link)
-	if look() {
+	if busyAfterTick() {
 		t.Error("busy though all runs have ended")
 	}
 }
 
-// While jobs are taken over any gate may have runs of theirs.
+// Any gate may have runs of the jobs while a take-over is in progress.
 func TestBusyWhileTakingOver(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	b.connect("gate-1")
 	b.owner.StartAdoption([]string{"entry~0"})
 	for range 10 {
 		if !b.owner.Busy("gate-1") {
 			t.Fatal("not busy before the jobs are read")
 		}
-		b.now += busyPause
+		b.now += busyInterval
 		b.owner.Tick()
 	}
 	b.owner.Adopt([]string{"entry~0"}, b.now, nil)
-	b.now += busyPause
+	b.now += busyInterval
 	b.owner.Tick()
 	if b.owner.Busy("gate-1") || b.owner.Adopting() {
-		t.Error("busy after a take-over that has found nothing")
+		t.Error("busy after a take-over without jobs")
 	}
 }
 
-// A gate has no runs of the owner from the frame on that tells of the last end; it counts as
-// busy until the next look.
+// HasRuns becomes false with the frame that reports the last end, before the next
+// update of the busy flags.
 func TestHasRunsGoesByTheNewestFrame(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	link := b.connect("gate-1")
 	b.owner.RunBestEffort(testSubmission("00000000000000aa", 1), time.Minute, func(BestEffortResult) {})
 	f := b.flush("gate-1", link)
--- a/owner/drop.go
+++ b/owner/drop.go
@@ -7,42 +7,41 @@
 	"rackspur/job"
 )
 
-// withdrawPatience is how long the answer to a job that is given up may wait for
-// the gates' word whether runs of it have started.
-const withdrawPatience = 60 * time.Millisecond
+// withdrawTimeout is how long the answer for a dropped job may wait for the gates to
+// report whether its runs have started.
+const withdrawTimeout = 60 * time.Millisecond
 
-// droppedJob is a job that was not kept and was given up.
+// droppedJob is a best-effort job that was given up.
 type droppedJob struct {
 	at Time
-	// unsure are runs that were sent to gates and of which it is not known yet
-	// whether they have started.
-	unsure map[job.RunName]bool
-	// callers wait for that; nil once they have their answer.
+	// unconfirmed are runs that were sent to gates and may or may not have started.
+	unconfirmed map[job.RunName]bool
+	// callers wait until that is known; nil once they are answered.
 	callers []caller
 }
 
-// drop gives up a job that is not kept: it ends without a result, and its runs are
-// withdrawn. If none of them is known to have started, the answer waits for the gates'
-// word, so that a job that has not run is told apart from one that may have.
+// drop gives up a best-effort job: it ends without a result, and its runs are
+// withdrawn. If none of them is known to have started, the answer waits for the reports
+// of the gates, to tell a job that has not run from one that may have.
 func (o *Owner) drop(j *liveJob) {
 	now := o.options.Now()
 	delete(o.jobs, j.record.ID)
 	o.stats.Dropped++
-	o.tellDropped(now, j)
+	o.logDropped(now, j)
 	o.withdrawTasks(j)
 	d := o.rememberDropped(now, j)
-	j.tellWaiters()
+	j.notifyWaiters()
 	switch {
-	case j.tried:
+	case j.mayHaveRun:
 		d.answer(BestEffortResult{})
-	case len(d.unsure) == 0:
+	case len(d.unconfirmed) == 0:
 		d.answer(BestEffortResult{Refused: true})
 	default:
 		o.unanswered++
 	}
 }
 
-// withdrawTasks takes a job's tasks out of the queue and has its runs stopped.
+// withdrawTasks removes a job's tasks from the queue and stops its runs.
 func (o *Owner) withdrawTasks(j *liveJob) {
 	for _, t := range j.tasks {
 		o.waiting.remove(t)
@@ -50,10 +49,10 @@
 	o.stopAll(j)
 }
 
-// rememberDropped keeps the callers of a job that is given up until they have their
-// answer. Those of an earlier time that the job was given up here are answered now.
+// rememberDropped keeps the callers of a dropped job until they are answered. If the
+// same job was dropped before, the callers of that time are answered now.
 func (o *Owner) rememberDropped(now Time, j *liveJob) *droppedJob {
-	d := &droppedJob{at: now, unsure: j.openRuns(), callers: j.callers}
+	d := &droppedJob{at: now, unconfirmed: j.openRuns(), callers: j.callers}
 	j.callers = nil
 	if earlier := o.dropped[j.record.ID]; earlier != nil {
 		earlier.answer(BestEffortResult{})
@@ -62,14 +61,14 @@
 	return d
 }
 
-// dropLive drops a job unless that was done already.
-func (o *Owner) dropLive(j *liveJob) {
+// dropIfLive drops a job unless it was dropped already.
+func (o *Owner) dropIfLive(j *liveJob) {
 	if o.jobs[j.record.ID] == j {
 		o.drop(j)
 	}
 }
 
-// openRuns returns the runs that gates have not told the end of.
+// openRuns returns the runs whose end gates have not reported yet.
 func (j *liveJob) openRuns() map[job.RunName]bool {
 	runs := map[job.RunName]bool{}
 	for _, t := range j.tasks {
@@ -80,21 +79,21 @@
 	return runs
 }
 
-// onState takes in what a gate says of a run of a job that was given up.
+// onState processes the state of a run of a dropped job.
 func (d *droppedJob) onState(s gate.RunState) {
-	if !d.unsure[s.Name] || s.End == 0 {
+	if !d.unconfirmed[s.Name] || s.End == 0 {
 		return
 	}
-	delete(d.unsure, s.Name)
+	delete(d.unconfirmed, s.Name)
 	switch {
 	case s.End != gate.EndRejected:
 		d.answer(BestEffortResult{})
-	case len(d.unsure) == 0:
+	case len(d.unconfirmed) == 0:
 		d.answer(BestEffortResult{Refused: true})
 	}
 }
 
-// answer tells the callers, once.
+// answer answers the callers, once.
 func (d *droppedJob) answer(r BestEffortResult) {
 	for _, c := range d.callers {
 		c.result(r)
@@ -102,12 +101,12 @@
 	d.callers = nil
 }
 
-// reviewDropped answers for given up jobs whose gates have not told in time, and
-// forgets old ones.
-func (o *Owner) reviewDropped(now Time) {
+// expireDropped answers the callers of dropped jobs whose gates have not reported in
+// time, and forgets old jobs.
+func (o *Owner) expireDropped(now Time) {
 	o.unanswered = 0
 	for id, d := range o.dropped {
-		if now-d.at > withdrawPatience {
+		if now-d.at > withdrawTimeout {
 			d.answer(BestEffortResult{})
 		}
 		if now-d.at > rememberEnded {
--- a/owner/drop_test.go
+++ b/owner/drop_test.go
@@ -8,23 +8,23 @@
 	"rackspur/job"
 )
 
-// A job that is given up has not run if every gate takes back what it was sent:
-// its caller is told so, and not that it may have run.
+// The callers of a dropped job are told that it has not run if the gates have rejected
+// all of its runs, and otherwise that it may have run.
 func TestGivenUpUntried(t *testing.T) {
 	cases := []struct {
 		name string
-		// ends are what the gate tells of the runs; 0 tells nothing.
+		// ends are the reported ends of the runs; 0 means no report.
 		ends    []gate.EndKind
 		refused bool
 	}{
 		{"all taken back", []gate.EndKind{gate.EndRejected, gate.EndRejected}, true},
 		{"one had started", []gate.EndKind{gate.EndRejected, gate.EndStopped}, false},
 		{"one was lost", []gate.EndKind{gate.EndLost, gate.EndRejected}, false},
-		{"one is not told of", []gate.EndKind{gate.EndRejected, 0}, false},
+		{"one is not reported", []gate.EndKind{gate.EndRejected, 0}, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newBench(t)
+			b := newHarness(t)
 			link := b.connect("gate-1")
 			var got *BestEffortResult
 			s := testSubmission("00000000000000aa", len(tc.ends))
@@ -36,7 +36,7 @@
 			b.now += 300 * time.Millisecond
 			b.owner.Tick()
 			if got != nil {
-				t.Fatalf("answered %+v before the gate could tell", *got)
+				t.Fatalf("answered %+v before the gate could report", *got)
 			}
 			if f = b.flush("gate-1", link); len(f.Stops) != len(tc.ends) {
 				t.Fatalf("%d runs withdrawn, want %d", len(f.Stops), len(tc.ends))
@@ -48,7 +48,7 @@
 				}
 			}
 			b.owner.OnFrame("gate-1", link, gate.Frame{Clock: b.now, Report: testReport(), States: states})
-			b.now += withdrawPatience + time.Millisecond
+			b.now += withdrawTimeout + time.Millisecond
 			b.owner.Tick()
 			if got == nil || got.Refused != tc.refused || got.State != "" {
 				t.Errorf("answered %+v, want refused %v", got, tc.refused)
@@ -57,9 +57,10 @@
 	}
 }
 
-// A job of which a run has ended is told to have run at once.
+// The callers of a dropped job of which a run has ended are told at once that it may
+// have run.
 func TestGivenUpTried(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	link := b.connect("gate-1")
 	var got *BestEffortResult
 	s := testSubmission("00000000000000aa", 2)
@@ -74,10 +75,10 @@
 	}
 }
 
-// Jobs that have begun come before others that are as much in time, so that
-// little is done for jobs that are then given up.
+// Jobs with placed tasks come before other jobs that are not late, so that little work
+// is done for jobs that are then dropped.
 func TestBegunJobsFirst(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	link := b.connect("gate-1")
 	b.fill("gate-1", link)
 	second := testSubmission("00000000000000bb", 4)
@@ -95,14 +96,13 @@
 	first.Queue.Priority = 1
 	b.owner.RunBestEffort(first, time.Minute, func(BestEffortResult) {})
 	if id := b.owner.waiting.items[0].job.record.ID; id != second.ID {
-		t.Errorf("%s comes first, want the job that has begun", id)
+		t.Errorf("%s comes first, want the job with a placed task", id)
 	}
 }
 
-// A late job with little left goes on before others; it falls behind them only
-// while much is left.
+// A late job falls behind the others only if many of its tasks are left.
 func TestNearlyDoneJobGoesOn(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	b.connect("gate-1")
 	b.owner.RunBestEffort(testSubmission("00000000000000aa", 8), time.Minute, func(BestEffortResult) {})
 	j := b.owner.jobs["00000000000000aa"]
@@ -110,7 +110,7 @@
 	for left, late := range map[int]bool{8: true, 3: true, 2: false, 1: false} {
 		j.left = left
 		if j.isLate(now) != late {
-			t.Errorf("late %v with %d of 8 tasks left, want %v", !late, left, late)
+			t.Errorf("isLate is %v with %d of 8 tasks left, want %v", !late, left, late)
 		}
 	}
 	if j.left = 8; j.isLate(j.startBy) {
@@ -118,10 +118,10 @@
 	}
 }
 
-// A job whose runs were all given back by gates has not begun: it is refused as
-// early as others.
+// A job whose runs were all returned by gates counts as not placed and is refused as
+// early as other such jobs.
 func TestGivenBackJobHasNotBegun(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	link := b.connect("gate-1")
 	var got *BestEffortResult
 	b.owner.RunBestEffort(testSubmission("00000000000000aa", 2), time.Minute, func(r BestEffortResult) { got = &r })
@@ -129,31 +129,31 @@
 	full := testReport()
 	full.Free = job.Resources{}
 	full.Queued = job.Resources{CPU: full.Capacity.CPU}
-	give := func(i int) {
+	returnRun := func(i int) {
 		back := gate.RunState{Name: f.Starts[i].Name, End: gate.EndRejected, Reason: gate.ReasonFull}
 		b.owner.OnFrame("gate-1", link, gate.Frame{Clock: b.now, Received: f.Sequence, Report: full, States: []gate.RunState{back}})
 	}
 	j := b.owner.jobs["00000000000000aa"]
-	give(0)
+	returnRun(0)
 	if !j.placed {
-		t.Fatal("counts as not begun while a run is at a gate")
+		t.Fatal("counts as not placed while a run is at a gate")
 	}
-	give(1)
+	returnRun(1)
 	if j.placed {
-		t.Fatal("counts as begun though nothing of it started")
+		t.Fatal("counts as placed though both runs were returned")
 	}
-	b.now = j.offerBy() + time.Millisecond
+	b.now = j.refuseAt() + time.Millisecond
 	b.owner.Tick()
 	if got == nil || !got.Refused {
 		t.Errorf("answered %+v, want refused", got)
 	}
 }
 
-// A task of the first priority is sent to a gate whose queue is full, and others
-// are not: the gate gives back what comes after it.
+// Only tasks of the highest priority are sent to a gate whose queue is full; the gate
+// returns tasks that rank behind them.
 func TestFirstPriorityPassesFullQueue(t *testing.T) {
 	for priority, want := range map[int]int{0: 1, 1: 0} {
-		b := newBench(t)
+		b := newHarness(t)
 		link := b.connect("gate-1")
 		r := testReport()
 		r.Free = job.Resources{}
@@ -168,38 +168,35 @@
 	}
 }
 
-// The owner's times are looked at often while tasks or answers wait, and only then.
+// The owner reports that it is waiting only while tasks or answers wait.
 func TestWaiting(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	if b.owner.Waiting() {
-		t.Error("waits without jobs")
+		t.Error("waiting without jobs")
 	}
 	link := b.connect("gate-1")
 	ticket := b.owner.RunBestEffort(testSubmission("00000000000000aa", 200), time.Minute, func(BestEffortResult) {})
 	if !b.owner.Waiting() {
-		t.Error("200 tasks do not wait for a single gate")
+		t.Error("not waiting with 200 tasks for one gate")
 	}
 	b.flush("gate-1", link)
 	b.owner.RunBestEffort(testSubmission("00000000000000aa", 200), time.Minute, func(BestEffortResult) {})
 	b.owner.Leave("00000000000000aa", ticket)
 	b.owner.drop(b.owner.jobs["00000000000000aa"])
 	if !b.owner.Waiting() {
-		t.Error("does not wait for the gate's word on what was given up")
+		t.Error("not waiting for the gate's report on a dropped job")
 	}
-	b.now += withdrawPatience + time.Millisecond
+	b.now += withdrawTimeout + time.Millisecond
 	b.owner.Tick()
 	if b.owner.Waiting() {
-		t.Error("waits after the last answer")
+		t.Error("waiting after the last answer")
 	}
 }
 
-// Symptom: the run numbers of waiting tasks of the first priority reached 1471 in a few seconds,
-// each an order that a gate gave back.
-//
-// Cause: a task that a full gate has given back went there again with the next frame, a few
-// milliseconds later, though nothing had moved on in that queue.
+// A task that a full gate has returned must not be sent to a full gate again with each
+// frame, only after a growing pause.
 func TestTaskGivenBackByFullGateWaits(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	link := b.connect("gate-1")
 	r := testReport()
 	r.Free = job.Resources{}
@@ -211,10 +208,10 @@
 		f := gate.Frame{Clock: b.now, Received: 1000, Report: r}
 		for _, order := range b.flush("gate-1", link).Starts {
 			if b.now-last < pause {
-				t.Fatalf("sent again %v after it was given back for time %d, want %v at least", b.now-last, orders, pause)
+				t.Fatalf("sent again %v after return %d, want at least %v", b.now-last, orders, pause)
 			}
 			orders++
-			pause = min(max(2*pause, leastFullPause), mostFullPause)
+			pause = min(max(2*pause, minFullPause), maxFullPause)
 			last = b.now
 			f.States = append(f.States, gate.RunState{Name: order.Name, End: gate.EndRejected, Reason: gate.ReasonFull})
 		}
@@ -223,7 +220,7 @@
 	if orders < 2 {
 		t.Errorf("%d orders, want the task tried again", orders)
 	}
-	// Where there is room it goes at once.
+	// A gate with room gets the task at once.
 	b.owner.OnFrame("gate-1", link, gate.Frame{Clock: b.now, Received: 1000, Report: testReport()})
 	if n := len(b.flush("gate-1", link).Starts); n != 1 {
 		t.Errorf("%d starts once the gate has room, want 1", n)
--- a/owner/echo.go
+++ b/owner/echo.go
@@ -6,8 +6,9 @@
 	"rackspur/gate"
 )
 
-// echo is the newest time of a gate at which the owner surely was alive: that of the
-// newest word of the gate and what has passed since.
+// echo returns the newest time on a gate's clock at which the owner was certainly
+// alive: the time of the gate's newest frame plus the time since it arrived, as bounded
+// by sinceHeard.
 func (o *Owner) echo(v *gateView) gate.Time {
 	if v.clock == 0 {
 		return 0
@@ -15,19 +16,19 @@
 	return v.clock + sinceHeard(o.options.Now(), v.heard)
 }
 
-// sinceHeard is how much younger than the newest word of a gate the owner's own life is
-// known to be: a gate goes by it to tell how long runs may go on. It is bounded, since a
-// gate that does not reach its owner must not count as being in contact for long.
+// sinceHeard returns how much the echo is later than a gate's newest frame. The gate
+// uses the echo to decide how long runs may go on. It is bounded, since a gate whose
+// frames don't reach its owner must not count as being in contact for long.
 func sinceHeard(now, heard Time) time.Duration {
-	age := time.Duration(float64(now-heard) * slowestClock)
-	return min(age, mostSinceHeard)
+	age := time.Duration(float64(now-heard) * minClockRate)
+	return min(age, maxSinceHeard)
 }
 
 const (
-	// slowestClock is how fast a gate's steady clock runs at least beside the owner's, in
-	// parts of its speed: the platform's 2% slow, twice.
-	slowestClock = 0.96
-	// mostSinceHeard bounds sinceHeard. With it a best-effort run ends at most 0.5 + 0.85
-	// + 0.4 s after its gate was last heard of, well below overAfter.
-	mostSinceHeard = 500 * time.Millisecond
+	// minClockRate is the lowest rate of a gate's monotonic clock relative to the
+	// owner's: each may deviate by 2%.
+	minClockRate = 0.96
+	// maxSinceHeard bounds sinceHeard. It keeps the time after which a best-effort run
+	// ends well below overAfter: 0.5 + 0.85 + 0.4 s after its gate was last heard from.
+	maxSinceHeard = 500 * time.Millisecond
 )
--- a/owner/evacuation.go
+++ b/owner/evacuation.go
@@ -7,10 +7,9 @@
 	"rackspur/gate"
 )
 
-// TakeEvacuations takes in which failure domains are evacuated, as of a time on the
-// owner's clock. The owner passes it on to its gates with each frame. It decides nothing
-// by it: a gate may have newer news from others, and its report says whether it takes
-// orders.
+// TakeEvacuations updates which failure domains are evacuated, as of a time on the
+// owner's clock. The owner only forwards this to its gates with each frame. A gate may
+// have newer news from other owners, and its report says whether it accepts orders.
 func (o *Owner) TakeEvacuations(n evacuation.News) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -23,19 +22,19 @@
 	o.wakeAll()
 }
 
-// evacuationsFor returns the news with the time of a gate as of which it holds. The echo
-// is a time of the gate at which the owner was alive, now or before.
+// evacuationsFor returns the news with its time converted to a gate's clock. The
+// conversion uses the echo, at which the owner was certainly alive.
 func (o *Owner) evacuationsFor(now Time, v *gateView) evacuation.News {
 	n := o.evacuations
 	n.AsOf = max(0, gate.Time(o.echo(v)-(now-n.AsOf)))
 	return n
 }
 
-// allEvacuated says whether the gates of a service that are linked are all in evacuated
-// failure domains, so that a job for it has no hope until one is taken back.
+// allEvacuated reports whether all linked gates of a service are in evacuated failure
+// domains, so that no job for it can start until one of the evacuations ends.
 func (o *Owner) allEvacuated(service string) bool {
 	found := false
-	for _, v := range o.near {
+	for _, v := range o.activeGates {
 		if !v.linked || v.report.Service != service {
 			continue
 		}
--- a/owner/foreign.go
+++ b/owner/foreign.go
@@ -5,8 +5,8 @@
 	"rackspur/job"
 )
 
-// TakeForeign returns the jobs that this owner does not know and of which gates
-// have told ends, and forgets them. Their final records decide; see JudgeForeign.
+// TakeForeign returns the jobs that this owner does not know but gates have reported
+// ends of. Their final records decide on these ends; see JudgeForeign.
 func (o *Owner) TakeForeign() []job.ID {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -21,9 +21,9 @@
 	return ids
 }
 
-// JudgeForeign answers for the ends of a job that this owner does not know. If
-// the job is not over its ends wait for their owner. A job without a final
-// record was not kept: its ends do not matter.
+// JudgeForeign sends the verdicts on the ends of a job that this owner does not know.
+// If the job has not ended, its ends are left to its owner. A job without a final
+// record was a best-effort job: its ends do not matter.
 func (o *Owner) JudgeForeign(id job.ID, over bool, f *job.Final) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -38,14 +38,14 @@
 			continue
 		}
 		if f == nil || f.State != job.StateCompleted || f.Done[taskNumber(f.Steps, e.name.TaskName)] == e.name.Run {
-			v.judge(e.name, gate.VerdictNote)
+			v.addVerdict(e.name, gate.VerdictNote)
 			continue
 		}
-		v.judge(e.name, gate.VerdictDiscard)
+		v.addVerdict(e.name, gate.VerdictDiscard)
 	}
 }
 
-// taskNumber returns the number of a task in the order of steps.
+// taskNumber returns the number of a task counted over all steps.
 func taskNumber(counts []int, name job.TaskName) int {
 	n := name.Index
 	for s := 0; s < name.Step && s < len(counts); s++ {
--- a/owner/isolation.go
+++ b/owner/isolation.go
@@ -7,17 +7,17 @@
 	"rackspur/job"
 )
 
-// This file holds what becomes of jobs that are not kept while their owner is out of
-// touch: it has stood still, or nothing reaches it. Gates stop its runs then, and callers
-// that hear nothing hand their jobs in elsewhere. An owner that comes back can't tell
-// which of them have, so it starts nothing more of the jobs that it had. One that was cut
-// off for 2 s else ran a task for 1 s beside another owner (TestOwnerCutOff).
+// Handling of best-effort jobs while their owner is isolated: its process is suspended,
+// or nothing reaches it. Gates then stop its runs, and callers without an answer submit
+// their jobs elsewhere. An owner that comes back can't tell which jobs were submitted
+// elsewhere, so it starts no more tasks of the jobs it had. Otherwise two owners would
+// run the same task at the same time (TestOwnerCutOff).
 
-// reviewIsolation closes the jobs that are not kept if the owner has heard of nobody for
-// longer than gates let its runs go on. It comes before all that could start a task, so
-// that a process that wakes starts nothing first.
-func (o *Owner) reviewIsolation(now Time) {
-	if now-o.outsideHeard <= o.options.BestEffortContact {
+// checkIsolation closes the best-effort jobs if the owner has had no contact for longer
+// than gates let its runs go on. It must be called before anything that could start a
+// task.
+func (o *Owner) checkIsolation(now Time) {
+	if now-o.lastContact <= o.options.BestEffortContact {
 		return
 	}
 	for _, j := range o.jobs {
@@ -27,24 +27,25 @@
 	}
 }
 
-// heardFromOutside takes in that another process has reached this one.
-func (o *Owner) heardFromOutside(now Time) {
-	o.reviewIsolation(now)
-	o.outsideHeard = now
+// noteContact records that another process has reached this one.
+func (o *Owner) noteContact(now Time) {
+	o.checkIsolation(now)
+	o.lastContact = now
 }
 
-// closeJob lets a job start no more tasks. What runs of it may still end, and then its
-// callers get their answer; it is given up as soon as a task would have to start.
+// closeJob prevents a job from starting more tasks. Its runs may still end, and its
+// callers are answered then; the job is dropped as soon as it would have to start a
+// task.
 func (o *Owner) closeJob(now Time, j *liveJob) {
 	j.closed = true
-	o.log.Info("Job starts nothing more; its owner was out of touch.", "job", j.record.ID, "ageMS", (now - j.arrived).Milliseconds(),
-		"silentMS", (now - o.outsideHeard).Milliseconds(), "left", j.left, "on", j.gates())
+	o.log.Info("Job starts no more tasks: its owner was isolated.", "job", j.record.ID, "ageMS", (now - j.arrived).Milliseconds(),
+		"silentMS", (now - o.lastContact).Milliseconds(), "left", j.left, "on", j.gateNames())
 	if o.mustStart(j) {
 		o.drop(j)
 	}
 }
 
-// mustStart says whether a job can't end without the start of a task.
+// mustStart reports whether a job can't end without starting another task.
 func (o *Owner) mustStart(j *liveJob) bool {
 	for _, t := range j.tasks {
 		if t.phase == taskBlocked || t.phase == taskWaiting || o.unsent(t) {
@@ -54,13 +55,13 @@
 	return false
 }
 
-// unsent says whether a task's start was not handed to the link yet.
+// unsent reports whether a task's start was not yet handed to the link.
 func (o *Owner) unsent(t *task) bool {
 	v := o.gates[t.gate]
 	return v != nil && t.phase == taskPlaced && v.holdsStart(t.runName())
 }
 
-// holdsStart says whether the start of a run waits to be handed to the link.
+// holdsStart reports whether the start of a run waits to be handed to the link.
 func (v *gateView) holdsStart(name job.RunName) bool {
 	return slices.ContainsFunc(v.starts, func(s gate.Order) bool { return s.Name == name })
 }
--- a/owner/isolation_test.go
+++ b/owner/isolation_test.go
@@ -13,16 +13,16 @@
 	isolatedGate = "gate-1"
 )
 
-// isolationCase is an owner with a best-effort job whose first task runs at a gate.
+// isolationCase is an owner with a best-effort job whose tasks were sent to a gate.
 type isolationCase struct {
-	*bench
+	*harness
 	link    uint64
 	started []gate.Order
 	results []BestEffortResult
 }
 
 func newIsolationCase(t *testing.T, tasks int) *isolationCase {
-	c := &isolationCase{bench: newBench(t)}
+	c := &isolationCase{harness: newHarness(t)}
 	c.link = c.connect(isolatedGate)
 	c.owner.RunBestEffort(testSubmission(isolatedJob, tasks), time.Minute, func(r BestEffortResult) { c.results = append(c.results, r) })
 	c.started = c.flush(isolatedGate, c.link).Starts
@@ -32,37 +32,28 @@
 	return c
 }
 
-// ends tells the owner how runs have ended.
-func (c *isolationCase) ends(states ...gate.RunState) {
+// reportEnds sends the owner a frame with the ends of runs.
+func (c *isolationCase) reportEnds(states ...gate.RunState) {
 	c.owner.OnFrame(isolatedGate, c.link, gate.Frame{Clock: c.now, Received: 1, Report: testReport(), States: states})
 }
 
-// Symptom: a task is started again of a job that is at work elsewhere.
-//
-// Sequence: the owner stands still for longer than gates let its runs go on, wakes and
-// learns that its run was stopped.
-//
-// Cause: it started the task anew before it learnt that its callers had left.
+// An owner that was suspended must not start a stopped task again, since its callers
+// may have submitted the job elsewhere.
 func TestOwnerThatWokeStartsNothing(t *testing.T) {
 	c := newIsolationCase(t, 1)
 	c.now += 3 * time.Second
-	c.ends(gate.RunState{Name: c.started[0].Name, End: gate.EndStopped})
+	c.reportEnds(gate.RunState{Name: c.started[0].Name, End: gate.EndStopped})
 	if f := c.flush(isolatedGate, c.link); len(f.Starts) != 0 {
 		t.Errorf("started %+v", f.Starts)
 	}
 	if len(c.results) != 1 || c.results[0].State != "" || c.results[0].Refused {
-		t.Errorf("told %+v, want that the job may have run", c.results)
+		t.Errorf("results %+v, want one that the job may have run", c.results)
 	}
 }
 
-// Symptom: as in TestOwnerThatWokeStartsNothing.
-//
-// Sequence: the owner places a task, stands still, and wakes before the frame with the
-// start is sent.
-//
-// Cause: what was placed before was sent, however long ago that was.
+// A start that was queued before the owner was suspended must not be sent afterwards.
 func TestOwnerThatWokeSendsNoOldStart(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	link := b.connect(isolatedGate)
 	b.owner.RunBestEffort(testSubmission(isolatedJob, 1), time.Minute, func(BestEffortResult) {})
 	b.now += 3 * time.Second
@@ -71,41 +62,39 @@
 	}
 }
 
-// What has ended while the owner stood still is told to its callers.
+// Ends that arrive after the owner was suspended are still reported to its callers.
 func TestOwnerThatWokeAnswers(t *testing.T) {
 	c := newIsolationCase(t, 2)
 	c.now += 3 * time.Second
-	c.ends(gate.RunState{Name: c.started[0].Name, End: gate.EndDone}, gate.RunState{Name: c.started[1].Name, End: gate.EndDone})
+	c.reportEnds(gate.RunState{Name: c.started[0].Name, End: gate.EndDone}, gate.RunState{Name: c.started[1].Name, End: gate.EndDone})
 	if len(c.results) != 1 || c.results[0].State != job.StateCompleted {
-		t.Errorf("told %+v, want that the job is completed", c.results)
+		t.Errorf("results %+v, want completed once", c.results)
 	}
 }
 
-// A gate that is lost while callers or other gates are heard of does not hold up its
-// jobs: they start elsewhere.
+// A lost run is started again if the owner was in contact with callers meanwhile.
 func TestOwnerInTouchStartsAnew(t *testing.T) {
 	c := newIsolationCase(t, 1)
 	for range 5 {
 		c.now += 400 * time.Millisecond
 		c.owner.RunBestEffort(testSubmission("00000000000000bb", 1), time.Minute, func(BestEffortResult) {})
 	}
-	c.ends(gate.RunState{Name: c.started[0].Name, End: gate.EndLost})
+	c.reportEnds(gate.RunState{Name: c.started[0].Name, End: gate.EndLost})
 	again := false
 	for _, s := range c.flush(isolatedGate, c.link).Starts {
 		again = again || s.Name.Job == isolatedJob
 	}
 	if !again {
-		t.Error("a run that was lost is not started again")
+		t.Error("the task of a lost run is not started again")
 	}
 }
 
-// A gate goes by the age of an owner's life, and not by that of its own last report,
-// which an owner without runs gets each 0.6 s only. A gate that is not heard of any more
-// must not count as being in contact for long.
+// The echo advances with the time since the gate's last frame, up to a limit, so that a
+// gate whose frames don't reach the owner doesn't count as being in contact for long.
 func TestEchoCountsFromTheGatesWord(t *testing.T) {
 	c := newIsolationCase(t, 1)
 	heard := c.now
-	c.ends()
+	c.reportEnds()
 	for _, tc := range []struct{ silent, most, least time.Duration }{
 		{silent: 0},
 		{silent: 250 * time.Millisecond, least: 240 * time.Millisecond, most: 250 * time.Millisecond},
@@ -113,7 +102,7 @@
 	} {
 		c.now = heard + tc.silent
 		if age := c.flush(isolatedGate, c.link).Echo - heard; age < tc.least || age > tc.most {
-			t.Errorf("%v after the gate's word the echo is %v younger, want %v to %v", tc.silent, age, tc.least, tc.most)
+			t.Errorf("%v after the gate's frame the echo is %v later, want %v to %v", tc.silent, age, tc.least, tc.most)
 		}
 	}
 }
--- a/owner/live.go
+++ b/owner/live.go
@@ -12,7 +12,7 @@
 type taskPhase int
 
 const (
-	// taskBlocked: steps that must be done before are not.
+	// taskBlocked: steps that the task depends on are not done.
 	taskBlocked taskPhase = iota
 	taskWaiting
 	// taskPlaced: sent to a gate.
@@ -29,40 +29,41 @@
 	step  *job.Step
 
 	phase taskPhase
-	// run is the number of the newest run, 0 before the first.
+	// run is the number of the newest run, FirstRun-1 before the first.
 	run  int
 	gate string
 	// since is when the phase began.
 	since      Time
 	checkpoint string
-	// avoid are the gates on which a run has failed or stood still.
+	// avoid are the gates on which a run has failed or made too little progress.
 	avoid map[string]bool
-	// fullUntil is until when the task goes to no gate whose queue is full, fullPause the time
-	// that it waits for that after the next one has given it back.
+	// Until fullUntil the task is not sent to gates with a full queue; fullPause is the
+	// length of the last such pause.
 	fullUntil Time
 	fullPause time.Duration
-	// moves counts how often the task was taken off an executor.
+	// moves counts how often the task was moved to another gate.
 	moves int
-	// position in the queue of waiting tasks, -1 if it is not in it.
+	// position is the index in the queue of waiting tasks, -1 if the task is not in it.
 	position int
 	order    uint64
-	// newest is the newest run that gates told of while the job was taken over.
+	// newest is the highest run number that gates reported while the job was taken
+	// over.
 	newest int
 }
 
 type jobPhase int
 
 const (
-	// jobInserting: the row is not known to be there yet.
+	// jobInserting: the row is not known to be stored yet.
 	jobInserting jobPhase = iota
 	jobLive
-	// jobAdopting: the job is taken over; its runs are being looked for.
+	// jobAdopting: the job is being taken over; gates are asked for its runs.
 	jobAdopting
-	// jobEnding: the final write is on its way.
+	// jobEnding: the final write is in progress.
 	jobEnding
 )
 
-// endRef is an end whose effect waits to be durable.
+// endRef is an end of a run that is to be confirmed to its gate.
 type endRef struct {
 	gate string
 	name job.RunName
@@ -75,51 +76,52 @@
 	phase   jobPhase
 	tasks   []*task
 	left    int
-	// begun says that a run of the job is known to have started.
-	begun   bool
+	// started is set once a run of the job is known to have started.
+	started bool
 	arrived Time
-	// objective is when the job should have ended; lateBy when its worth is gone.
-	objective Time
-	lateBy    Time
-	// deadline is when the last caller of a job that is not kept leaves.
+	// objective is when the job should have ended; veryLateAt is when its result has
+	// lost its value.
+	objective  Time
+	veryLateAt Time
+	// deadline is when the last caller of a best-effort job leaves.
 	deadline Time
-	// startBy is when the last tasks should start for the job to be in time.
+	// startBy is when the last tasks should start for the job to end in time.
 	startBy Time
-	// late is set once the job can't be in time any more.
+	// late is set while the job can't end in time and others go first; see isLate.
 	late bool
-	// urgency orders tasks: the lower the earlier.
-	urgency  Time
-	insert   *rowstore.Write
-	accepted []func(SubmitResult)
-	// callers wait for the end of a job that is not kept.
+	// urgency orders the tasks of jobs; lower comes first.
+	urgency    Time
+	insert     *rowstore.Write
+	submitters []func(SubmitResult)
+	// callers wait for the end of a best-effort job.
 	callers []caller
-	// placed says that a task was sent to a gate, so that it may have started.
+	// placed is set once a task was sent to a gate, so that it may have started.
 	placed bool
-	// tried says that a run of it has started, or may have.
-	tried bool
+	// mayHaveRun is set once a run of the job has started, or may have.
+	mayHaveRun bool
 
-	// dirtySince is when the record changed first since its last write.
+	// dirtySince is the time of the first change to the record since its last write.
 	dirtySince Time
 	dirty      bool
 	writing    bool
-	// unwritten are ends in the record but not in a write yet, inWrite those in
-	// the write that is on its way.
+	// unwritten are ends in the record that are in no write yet, inWrite those in the
+	// current write.
 	unwritten []endRef
 	inWrite   []endRef
-	// final is the state that the job is to end in.
+	// final is the state in which the job is to end.
 	final   job.State
 	waiters []chan struct{}
-	// found are runs that gates have told of while the job is being taken over.
-	found []foundRun
+	// reported are the runs that gates have reported while the job is being taken over.
+	reported []reportedRun
 	// slowGates are the gates on which runs of the job were behind.
 	slowGates []string
-	// stallTold says that a line has told of a task that stands still.
-	stallTold bool
-	// closed says that nothing more of a job that is not kept may start: its callers may
-	// have handed it in elsewhere.
+	// stallLogged is set once a stalled task of the job was logged.
+	stallLogged bool
+	// closed is set if a best-effort job may not start any more tasks, because its
+	// callers may have submitted it elsewhere.
 	closed bool
-	// longTold says that a line has told that the job takes long.
-	longTold bool
+	// slowLogged is set once the job was logged as slow.
+	slowLogged bool
 }
 
 // endedJob is what is remembered of a job that has ended.
@@ -128,16 +130,16 @@
 	queue      string
 	bestEffort bool
 	at         Time
-	// runs has the run that counted for each task by its index.
+	// runs has the run that counted for each task that was done.
 	runs map[job.TaskName]int
 }
 
 func newLiveJob(r job.Record, now Time) *liveJob {
 	j := &liveJob{record: r, arrived: now}
-	estimate := j.chain()
+	estimate := j.criticalPath()
 	objective := time.Duration(float64(estimate)*max(1, r.Queue.Stretch)) + time.Duration(r.Queue.TargetLatencyMS)*time.Millisecond
 	j.objective = now + objective
-	j.lateBy = now + 3*objective
+	j.veryLateAt = now + 3*objective
 	index := 0
 	for s := range j.record.Steps {
 		step := &j.record.Steps[s]
@@ -156,19 +158,19 @@
 	return j
 }
 
-// chain returns the longest chain of estimated run times.
-func (j *liveJob) chain() time.Duration {
+// criticalPath returns the length of the longest chain of steps by their estimates.
+func (j *liveJob) criticalPath() time.Duration {
 	longest := make([]time.Duration, len(j.record.Steps))
-	var most time.Duration
+	var total time.Duration
 	for i := range j.record.Steps {
 		s := &j.record.Steps[i]
 		for _, a := range s.After {
 			longest[i] = max(longest[i], longest[a])
 		}
 		longest[i] += time.Duration(s.EstimateMS) * time.Millisecond
-		most = max(most, longest[i])
+		total = max(total, longest[i])
 	}
-	return most
+	return total
 }
 
 // find returns a task by name, or nil.
@@ -186,7 +188,7 @@
 	return j.tasks[first+name.Index]
 }
 
-// stepDone says whether all tasks of a step are done.
+// stepDone reports whether all tasks of a step are done.
 func (j *liveJob) stepDone(step int) bool {
 	for _, t := range j.tasks {
 		if t.name.Step == step && t.phase != taskDone {
@@ -196,7 +198,7 @@
 	return true
 }
 
-// ready says whether the steps before a task's are done.
+// ready reports whether the steps that a task depends on are done.
 func (t *task) ready() bool {
 	for _, a := range t.step.After {
 		if !t.job.stepDone(a) {
@@ -211,43 +213,43 @@
 }
 
 func (j *liveJob) state() job.State {
-	if j.begun || j.record.Generation > 0 {
-		// A former owner may have started runs of which nothing is left.
+	if j.started || j.record.Generation > 0 {
+		// A former owner may have started runs that nobody reports any more.
 		return job.StateRunning
 	}
 	return job.StateQueued
 }
 
-func (j *liveJob) tellWaiters() {
+func (j *liveJob) notifyWaiters() {
 	for _, w := range j.waiters {
 		close(w)
 	}
 	j.waiters = nil
 }
 
-// part returns the part of the store that a job's rows stand in.
+// part returns the partition of the store for a job's rows.
 func (o *Owner) part(id job.ID) int { return PartOf(id, o.options.Parts) }
 
-// PartOf returns the number of the part, of so many, that a job's rows stand in.
+// PartOf returns the number of the partition for a job's rows, out of parts.
 func PartOf(id job.ID, parts int) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
 	return int(h.Sum32() % uint32(parts))
 }
 
-// PartName is the name of a part in the store.
+// PartName returns the name of a partition in the store.
 func PartName(part int) string { return "p" + strconv.Itoa(part) }
 
 func (o *Owner) key(table string, id job.ID) rowstore.Key {
 	return RowKey(table, id, o.options.Parts)
 }
 
-// RowKey is the key of a job's row in a table.
+// RowKey returns the key of a job's row in a table.
 func RowKey(table string, id job.ID, parts int) rowstore.Key {
 	return rowstore.Key{Table: table, Part: PartName(PartOf(id, parts)), Name: string(id)}
 }
 
-// stepCounts returns the numbers of tasks of the steps.
+// stepCounts returns the number of tasks of each step.
 func (j *liveJob) stepCounts() []int {
 	counts := make([]int, len(j.record.Steps))
 	for i := range j.record.Steps {
--- /dev/null
+++ b/owner/log.go
@@ -0,0 +1,79 @@
+package owner
+
+import (
+	"time"
+
+	"rackspur/job"
+)
+
+// gateNames lists the gates of a job's tasks, for a log line.
+func (j *liveJob) gateNames() string {
+	gates := ""
+	for _, t := range j.tasks {
+		if t.phase != taskDone && t.gate != "" {
+			gates += t.gate + " "
+		}
+	}
+	return gates
+}
+
+// logRefused logs that a job was refused, with the figures behind the decision.
+func (o *Owner) logRefused(now Time, j *liveJob, why string) {
+	o.stats.Refused++
+	capacity, room := o.roomFor(j)
+	o.log.Info("Job refused.", "job", j.record.ID, "queue", j.record.Queue.Name, "why", why, "ageMS", (now - j.arrived).Milliseconds(),
+		"capacityCPU", capacity, "freeCPU", room, "needCPU", j.need(), "waitingTasks", o.waiting.len(), "slackMS", (j.startBy - now).Milliseconds())
+}
+
+// logDropped logs that a job was given up.
+func (o *Owner) logDropped(now Time, j *liveJob) {
+	if !j.placed {
+		return
+	}
+	o.log.Info("Job given up.", "job", j.record.ID, "queue", j.record.Queue.Name, "ageMS", (now - j.arrived).Milliseconds(),
+		"tasks", len(j.tasks), "left", j.left, "on", j.gateNames(), "callers", len(j.callers), "overdueMS", (now - j.objective).Milliseconds())
+}
+
+// Limits on logging slow jobs.
+const (
+	// slowAfter is the age from which a best-effort job counts as slow: less than the
+	// 1.3 s after which callers without an answer submit it again.
+	slowAfter = time.Second
+	// maxSlowLines is the number of slow jobs that one call of logSlow logs at most.
+	maxSlowLines = 20
+)
+
+// logSlow logs slow best-effort jobs, once each, with the owner and the gates of their
+// tasks. That helps to trace a job that its caller submits again elsewhere.
+func (o *Owner) logSlow(now Time) {
+	logged := 0
+	for _, j := range o.jobs {
+		if j.slowLogged || !j.record.BestEffort || now-j.arrived < slowAfter {
+			continue
+		}
+		if logged++; logged > maxSlowLines {
+			return
+		}
+		j.slowLogged = true
+		o.log.Info("Job is slow.", "job", j.record.ID, "owner", o.options.Incarnation, "queue", j.record.Queue.Name,
+			"ageMS", (now - j.arrived).Milliseconds(), "tasks", len(j.tasks), "left", j.left, "on", j.gateNames())
+	}
+}
+
+// logEnd logs that a job has failed or ended after its objective.
+func (o *Owner) logEnd(now Time, j *liveJob) {
+	switch {
+	case j.final == job.StateFailed:
+		o.log.Info("Job failed.", "job", j.record.ID, "queue", j.record.Queue.Name, "ageMS", (now - j.arrived).Milliseconds(),
+			"failedRuns", j.record.Failed, "attempts", j.record.Queue.Attempts)
+	case now > j.objective:
+		o.log.V(1).Info("Job late.", "job", j.record.ID, "queue", j.record.Queue.Name, "ageMS", (now - j.arrived).Milliseconds(),
+			"objectiveMS", (j.objective - j.arrived).Milliseconds())
+	}
+}
+
+func (o *Owner) observeEnd(took time.Duration) {
+	if o.options.Ended != nil {
+		o.options.Ended(took)
+	}
+}
--- a/owner/move.go
+++ b/owner/move.go
@@ -6,18 +6,18 @@
 	"rackspur/job"
 )
 
-// Bounds of taking runs off executors on which they are behind.
+// Limits on moving runs away from targets on which they are behind.
 const (
-	// maxMoves is how many times a task is taken off.
+	// maxMoves is how many times a task is moved.
 	maxMoves = 2
-	// maxSlowGates is on how many gates runs of a job may be behind: with more of
-	// them the job's estimate is wrong, and not the executors.
+	// maxSlowGates is the number of gates on which runs of a job may be behind. With
+	// more of them the job's estimate is wrong, not the targets.
 	maxSlowGates = 2
 )
 
-// moveOn takes a run off an executor on which it makes too little progress. The
-// task starts elsewhere once the run has ended.
-func (o *Owner) moveOn(v *gateView, t *task, name job.RunName) {
+// moveRun stops a run that makes too little progress. The task starts on another gate
+// once the run has ended.
+func (o *Owner) moveRun(v *gateView, t *task, name job.RunName) {
 	j := t.job
 	if !slices.Contains(j.slowGates, v.name) {
 		j.slowGates = append(j.slowGates, v.name)
@@ -29,5 +29,5 @@
 	o.stats.Moved++
 	t.avoidGate(v.name)
 	v.stop(name)
-	o.log.Info("Run is behind; taken off.", "job", name.Job, "task", t.index, "run", name.Run, "gate", v.name, "moves", t.moves)
+	o.log.Info("Run is behind and is moved.", "job", name.Job, "task", t.index, "run", name.Run, "gate", v.name, "moves", t.moves)
 }
--- a/owner/move_test.go
+++ b/owner/move_test.go
@@ -7,10 +7,10 @@
 	"rackspur/gate"
 )
 
-// A run that is behind is stopped, and its task starts on another gate once the
-// run has ended; after maxMoves it stays where it is.
+// A run that is behind is stopped, and its task starts on another gate once the run has
+// ended. After maxMoves moves it stays.
 func TestRunBehindMoves(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	links := map[string]uint64{"gate-1": b.connect("gate-1"), "gate-2": b.connect("gate-2"), "gate-3": b.connect("gate-3")}
 	b.owner.RunBestEffort(testSubmission("00000000000000aa", 1), time.Minute, func(BestEffortResult) {})
 	used := map[string]bool{}
@@ -43,7 +43,7 @@
 }
 
 // startedWhere returns the gate that was sent a start, and the start.
-func (b *bench) startedWhere(links map[string]uint64) (string, gate.Order) {
+func (b *harness) startedWhere(links map[string]uint64) (string, gate.Order) {
 	b.t.Helper()
 	for name, link := range links {
 		if f := b.flush(name, link); len(f.Starts) == 1 {
@@ -54,9 +54,10 @@
 	return "", gate.Order{}
 }
 
-// A job whose runs are behind on many gates has a wrong estimate: it stays.
+// If runs of a job are behind on many gates, its estimate is wrong: the runs are not
+// moved.
 func TestWrongEstimateStays(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	links := map[string]uint64{"gate-1": b.connect("gate-1"), "gate-2": b.connect("gate-2"), "gate-3": b.connect("gate-3"), "gate-4": b.connect("gate-4")}
 	b.owner.RunBestEffort(testSubmission("00000000000000aa", 12), time.Minute, func(BestEffortResult) {})
 	stops, gates := 0, 0
@@ -71,6 +72,6 @@
 		stops += len(b.flush(name, link).Stops)
 	}
 	if gates <= maxSlowGates || stops != maxSlowGates {
-		t.Errorf("%d runs taken off on %d gates, want %d", stops, gates, maxSlowGates)
+		t.Errorf("%d runs stopped on %d gates, want %d", stops, gates, maxSlowGates)
 	}
 }
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -1,12 +1,12 @@
-// Package owner holds the owner of jobs: it takes jobs in, keeps their records
-// in the store, places their tasks on gates and takes in their ends.
+// Package owner accepts jobs, stores their records, places their tasks on gates and
+// processes the results.
 //
-// A job has one owner at a time, a life of an entry daemon. Lives are fenced in
-// the store: a life whose fence row is gone can write nothing any more, and the
-// gates obey the life that has adopted its jobs.
+// Each job has one owner at a time: one incarnation of an entry process. Incarnations
+// are fenced in the store. Once its fence row is gone an incarnation can't write any
+// more, and gates obey the incarnation that has taken over its jobs.
 //
-// Owner is a state machine under one lock: events with their time come in;
-// writes go to a Writer and frames are picked up by the links to the gates.
+// Owner is a state machine under one lock. Events come in with their time, writes go to
+// a Writer, and the links to the gates fetch their frames.
 package owner
 
 import (
@@ -21,63 +21,65 @@
 	"rackspur/rowstore"
 )
 
-// Time is the time on the owner's steady clock since its start.
+// Time is the time on the owner's monotonic clock since the process started.
 type Time = time.Duration
 
-// Tables of the owner in the store.
+// Tables in the store.
 const (
 	// TableJobs has a row for each job that has not ended.
 	TableJobs = "jobs"
-	// TableFinished has a row for each job that has ended, for a time.
+	// TableFinished has a row for each ended job until Options.KeepFinished has passed.
 	TableFinished = "finished"
 )
 
-// Writer brings writes into the store.
+// Writer queues writes to the store.
 type Writer interface {
-	// Add queues a write for a part.
+	// Add queues a write to a partition of the store.
 	Add(part int, w *rowstore.Write)
-	// Withdraw takes back a write that was not sent; it reports whether it was so.
+	// Withdraw removes a write that was not sent yet and reports whether it did.
 	Withdraw(part int, w *rowstore.Write) bool
-	// FailingFor says how long calls for a part have failed.
+	// FailingFor returns how long calls to a partition have been failing.
 	FailingFor(part int) time.Duration
 }
 
-// Options are the bounds that an owner works with.
+// Options configures an Owner.
 type Options struct {
 	Incarnation string
-	// Parts is the number of parts of the store that jobs are spread over.
+	// Parts is the number of partitions of the store that jobs are spread over.
 	Parts int
-	// Contact is how long a gate lets runs go on without word from the owner.
+	// Contact is how long a gate lets runs of durable jobs go on without contact to the
+	// owner.
 	Contact time.Duration
-	// BestEffortContact is the same for runs of jobs that are not kept.
+	// BestEffortContact is the same for runs of best-effort jobs.
 	BestEffortContact time.Duration
-	// Lease is the longest lease that gates ask for.
+	// Lease is the longest lease that gates request.
 	Lease time.Duration
-	// KeepFinished is how long the state of an ended job is told.
+	// KeepFinished is how long the state of an ended job can be queried.
 	KeepFinished time.Duration
 	Log          logr.Logger
-	// Policy makes the decisions that operators have programmed; nil leaves them
-	// to what is built in.
+	// Policy makes the decisions that operators can program; nil selects the built-in
+	// ones.
 	Policy Policy
-	// Ended is told how long each job took from its arrival to its end; may be nil.
+	// Ended is called with the time from each job's arrival to its end; may be nil.
 	Ended func(took time.Duration)
-	// Now is the owner's steady clock.
+	// Now returns the time on the owner's monotonic clock.
 	Now func() Time
-	// WallClock tells the time of day, for records only.
+	// WallClock returns the time of day. It is used in records only.
 	WallClock func() time.Time
 }
 
-// Times of an owner.
+// Timing of an owner.
 const (
-	// progressDelay is how long ends wait to be written together.
+	// progressDelay is how long changed records wait to be written together.
 	progressDelay = 40 * time.Millisecond
-	// presumeMargin is added to the time after which a silent gate's runs are over.
+	// presumeMargin is added to the time after which the runs at a silent gate count as
+	// over.
 	presumeMargin = 250 * time.Millisecond
-	// rememberEnded is how long an ended job is remembered with its runs.
+	// rememberEnded is how long the runs of an ended job are remembered.
 	rememberEnded = 20 * time.Second
 )
 
-// Owner is the state machine.
+// Owner is the state machine; see the package comment.
 type Owner struct {
 	options Options
 	writer  Writer
@@ -85,50 +87,52 @@
 	mu    sync.Mutex
 	jobs  map[job.ID]*liveJob
 	ended map[job.ID]*endedJob
-	// dropped are jobs that were not kept and not brought to an end.
+	// dropped holds best-effort jobs that were given up before they ended.
 	dropped map[job.ID]*droppedJob
 	gates   map[string]*gateView
-	// near are the gates that are linked, or were and may have runs, by name: what is done
-	// again and again goes through these, so that it does not grow with the fleet.
-	near []*gateView
+	// activeGates are the gates that are linked, or were linked and may still have
+	// runs, sorted by name. Periodic work iterates over these, so that it does not grow
+	// with the fleet.
+	activeGates []*gateView
 	// allBusy is set while every gate counts as busy.
 	allBusy bool
 	waiting taskQueue
 	random  *rand.Rand
 	order   uint64
-	// entries is how many owners share the executors.
-	entries int
-	// capacityAt is when a gate was last open, at first the owner's beginning.
-	capacityAt Time
-	// valid says until when the owner's lease holds.
-	validUntil Time
-	over       bool
-	// adoptions are the lives whose jobs are being taken over.
+	// owners is the number of owners that share the targets.
+	owners int
+	// lastOpen is when a gate was last open, initially the start of the owner.
+	lastOpen Time
+	// leaseUntil is when the owner's lease expires.
+	leaseUntil Time
+	stopped    bool
+	// adopted are the incarnations taken over so far, adoptions the take-overs in
+	// progress.
 	adopted   []string
 	adoptions []*adoption
-	// foreign are ends of jobs that this owner does not know.
+	// foreign holds ends of runs of jobs that this owner does not know.
 	foreign map[job.ID][]endRef
-	// resumed is when the owner's lease held again after it had lapsed.
-	resumed Time
-	stats   Stats
-	// busyReviewed is when it was last looked at which gates runs are.
-	busyReviewed Time
-	// reading is how many take-overs have begun whose jobs are still being read.
-	reading int
-	swept   Time
-	// unanswered is how many jobs were given up whose callers waited at the newest
-	// look, or have begun to since.
+	// leaseResumed is when the lease was last renewed after it had expired.
+	leaseResumed Time
+	stats        Stats
+	// busyUpdated is when the busy flags of the gates were last updated.
+	busyUpdated Time
+	// pendingReads is the number of take-overs whose jobs are still being read.
+	pendingReads int
+	lastSweep    Time
+	// unanswered is the number of dropped jobs whose callers were still waiting at the
+	// last check, or have begun to wait since.
 	unanswered int
-	// shortSince is since when tasks wait for room; 0 while none does.
+	// shortSince is when tasks began to wait for room; 0 while none waits.
 	shortSince Time
-	// evacuations is the newest word of which failure domains are evacuated.
+	// evacuations is the newest state of the evacuated failure domains.
 	evacuations evacuation.News
-	// outsideHeard is when another process last reached this one.
-	outsideHeard Time
-	log          logr.Logger
+	// lastContact is when another process last reached this one.
+	lastContact Time
+	log         logr.Logger
 }
 
-// Stats are counters of an owner.
+// Stats are the counters of an owner.
 type Stats struct {
 	Accepted, Refused, Completed, Failed, Cancelled                  int64
 	Placed, Rejected, EndedFailed, Lost, Adopted                     int64
@@ -138,67 +142,67 @@
 // New returns an owner without jobs.
 func New(o Options, w Writer) *Owner {
 	return &Owner{
-		options:      o,
-		entries:      1,
-		capacityAt:   o.Now(),
-		outsideHeard: o.Now(),
-		writer:       w,
-		jobs:         map[job.ID]*liveJob{},
-		ended:        map[job.ID]*endedJob{},
-		dropped:      map[job.ID]*droppedJob{},
-		gates:        map[string]*gateView{},
-		foreign:      map[job.ID][]endRef{},
-		random:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		log:          o.Log,
+		options:     o,
+		owners:      1,
+		lastOpen:    o.Now(),
+		lastContact: o.Now(),
+		writer:      w,
+		jobs:        map[job.ID]*liveJob{},
+		ended:       map[job.ID]*endedJob{},
+		dropped:     map[job.ID]*droppedJob{},
+		gates:       map[string]*gateView{},
+		foreign:     map[job.ID][]endRef{},
+		random:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		log:         o.Log,
 	}
 }
 
-// Renewed takes in that the owner's lease holds until a time.
+// Renewed extends the owner's lease.
 func (o *Owner) Renewed(until Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	lapsed := o.validUntil < o.options.Now()
-	o.validUntil = max(o.validUntil, until)
+	lapsed := o.leaseUntil < o.options.Now()
+	o.leaseUntil = max(o.leaseUntil, until)
 	if lapsed {
-		o.resumed = o.options.Now()
+		o.leaseResumed = o.options.Now()
 		o.place(o.options.Now())
 		o.wakeAll()
 	}
 }
 
-// End makes the owner give no more orders, for good: its life is fenced, or it leaves.
-// The runs of jobs that are not kept end as those of a lost owner: by the time that their
-// callers, who are told, hand the jobs in elsewhere.
+// End makes the owner stop for good: its incarnation is fenced, or its process shuts
+// down. Callers of best-effort jobs are answered and may submit their jobs elsewhere;
+// gates stop the runs once they lose contact with the owner.
 func (o *Owner) End() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.over = true
+	o.stopped = true
 	for _, j := range o.jobs {
-		j.tellWaiters()
-		j.tellCallers(j.undone())
+		j.notifyWaiters()
+		j.answerCallers(j.unfinishedResult())
 	}
 	for _, d := range o.dropped {
 		d.answer(BestEffortResult{})
 	}
 }
 
-// active says whether the owner may give orders for jobs that are kept.
+// active reports whether the owner may give orders for durable jobs.
 func (o *Owner) active(now Time) bool {
-	return !o.over && now < o.validUntil
+	return !o.stopped && now < o.leaseUntil
 }
 
-// Active says whether the owner may give orders for jobs that are kept.
+// Active reports whether the owner may give orders for durable jobs.
 func (o *Owner) Active() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.active(o.options.Now())
 }
 
-// Alive says whether the owner's life goes on.
+// Alive reports whether End has not been called yet.
 func (o *Owner) Alive() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return !o.over
+	return !o.stopped
 }
 
 // Live returns the number of jobs that have not ended.
@@ -215,41 +219,41 @@
 	return o.stats
 }
 
-// Tick looks at times.
+// Tick does the work that depends on time.
 func (o *Owner) Tick() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.options.Now()
-	if o.over {
+	if o.stopped {
 		return
 	}
 	o.presumeSilentGates(now)
 	o.checkAdoptions(now)
 	o.writeProgress(now)
-	o.giveUpHopeless(now)
-	o.reviewDropped(now)
-	o.reviewWaiting(now)
+	o.dropExpired(now)
+	o.expireDropped(now)
+	o.checkWaiting(now)
 	o.place(now)
-	o.reviewShortage(now)
-	o.reviewBusy(now)
+	o.updateShortage(now)
+	o.updateBusy(now)
 	o.forgetEnded(now)
 }
 
-// Waiting says whether tasks wait for room, or callers for the word of gates.
+// Waiting reports whether tasks wait for room, or callers for the answers of gates.
 func (o *Owner) Waiting() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.waiting.len() > 0 || o.unanswered > 0
 }
 
-// forgetEnded drops ended jobs that were kept long enough.
+// forgetEnded deletes the records of jobs that ended longer ago than KeepFinished.
 func (o *Owner) forgetEnded(now Time) {
-	if now-o.swept < time.Second {
+	if now-o.lastSweep < time.Second {
 		return
 	}
-	o.swept = now
-	o.tellStalled(now)
-	o.tellLong(now)
+	o.lastSweep = now
+	o.logStalled(now)
+	o.logSlow(now)
 	for id, e := range o.ended {
 		if now-e.at > rememberEnded {
 			e.runs = nil
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -11,7 +11,7 @@
 	"rackspur/rowstore"
 )
 
-// fakeWriter keeps the writes of an owner until a test decides them.
+// fakeWriter holds the writes of an owner until a test completes them.
 type fakeWriter struct {
 	writes  []*rowstore.Write
 	failing time.Duration
@@ -21,15 +21,15 @@
 func (w *fakeWriter) Withdraw(_ int, write *rowstore.Write) bool { return false }
 func (w *fakeWriter) FailingFor(int) time.Duration               { return w.failing }
 
-// take returns the writes so far and forgets them.
+// take returns the pending writes and clears them.
 func (w *fakeWriter) take() []*rowstore.Write {
 	all := w.writes
 	w.writes = nil
 	return all
 }
 
-// bench is an owner with a clock that a test sets.
-type bench struct {
+// harness is an owner with a clock that the test sets.
+type harness struct {
 	t      *testing.T
 	owner  *Owner
 	writer *fakeWriter
@@ -39,8 +39,8 @@
 
 const testService = "engine"
 
-func newBench(t *testing.T) *bench {
-	b := &bench{t: t, writer: &fakeWriter{}, now: time.Second}
+func newHarness(t *testing.T) *harness {
+	b := &harness{t: t, writer: &fakeWriter{}, now: time.Second}
 	b.owner = New(Options{
 		Incarnation: "entry~1", Parts: 1, Contact: 1400 * time.Millisecond, BestEffortContact: 850 * time.Millisecond, Lease: time.Second,
 		KeepFinished: 2 * time.Minute, Log: logr.Discard(),
@@ -56,8 +56,8 @@
 	return gate.Report{Life: "i-1", Service: testService, Capacity: room, Free: room, Open: true}
 }
 
-// connect brings a link to a gate up, with an empty inventory.
-func (b *bench) connect(name string) uint64 {
+// connect links a gate that has an empty inventory.
+func (b *harness) connect(name string) uint64 {
 	b.link++
 	b.owner.AddGate(name, "zone-a")
 	b.owner.LinkUp(name, b.link, nil)
@@ -65,8 +65,8 @@
 	return b.link
 }
 
-// flush returns what the owner sends to a gate.
-func (b *bench) flush(name string, link uint64) gate.OwnerFrame {
+// flush returns the next frame to a gate.
+func (b *harness) flush(name string, link uint64) gate.OwnerFrame {
 	b.t.Helper()
 	f, ok := b.owner.Flush(name, link)
 	if !ok {
@@ -83,11 +83,10 @@
 	}
 }
 
-// A gate that was asked to adopt runs tells its inventory in the middle of a
-// link, while starts may be on their way to it. These are not lost: a second
-// run beside them would run at the same time.
+// An inventory in the middle of a link may have been sent before a start arrived. That
+// start is not lost, and its task must not start a second time.
 func TestInventoryCrossesStart(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	link := b.connect("gate-1")
 	b.owner.RunBestEffort(testSubmission("0000000000000001", 1), time.Minute, func(BestEffortResult) {})
 	f := b.flush("gate-1", link)
@@ -96,11 +95,11 @@
 	}
 	b.owner.OnFrame("gate-1", link, gate.Frame{Clock: b.now, Received: f.Sequence - 1, Report: testReport(), Inventory: true})
 	if again := b.flush("gate-1", link); len(again.Starts) != 0 {
-		t.Errorf("started again as run %d while the start was on its way", again.Starts[0].Name.Run)
+		t.Errorf("started again as run %d while the start was in transit", again.Starts[0].Name.Run)
 	}
 	b.owner.OnFrame("gate-1", link, gate.Frame{Clock: b.now, Received: f.Sequence, Report: testReport(), Inventory: true})
 	again := b.flush("gate-1", link)
 	if len(again.Starts) != 1 || again.Starts[0].Name.Run != f.Starts[0].Name.Run+1 {
-		t.Errorf("a run that the gate does not know was not replaced: %+v", again.Starts)
+		t.Errorf("a run missing from the inventory was not started again: %+v", again.Starts)
 	}
 }
--- a/owner/place.go
+++ b/owner/place.go
@@ -8,50 +8,50 @@
 	"rackspur/job"
 )
 
-// Bounds of placing.
+// Parameters of placement.
 const (
-	// slowFactor is how many times slower than the median an executor must be to
-	// be used last.
+	// slowFactor is how many times slower than the median a target must be to be chosen
+	// last.
 	slowFactor = 2.0
-	// lateRank puts the runs of late jobs behind all others at a gate.
-	lateRank = time.Minute
+	// lateRankPenalty ranks the runs of late jobs behind all others at a gate.
+	lateRankPenalty = time.Minute
 )
 
-// place sends waiting tasks to gates as far as there is room.
+// place sends waiting tasks to gates that have room for them.
 func (o *Owner) place(now Time) {
-	o.reviewIsolation(now)
-	if o.over || o.waiting.len() == 0 {
+	o.checkIsolation(now)
+	if o.stopped || o.waiting.len() == 0 {
 		return
 	}
 	usable := o.usableGates()
 	median := medianSlowness(usable)
-	var back []*task
+	var unplaced []*task
 	misses := 0
 	for o.waiting.len() > 0 && len(usable) > 0 && misses < maxMisses {
 		t := o.waiting.pop()
 		if !t.job.record.BestEffort && !o.active(now) {
-			back = append(back, t)
+			unplaced = append(unplaced, t)
 			continue
 		}
 		v := o.choose(now, usable, median, t)
 		if v == nil {
-			back = append(back, t)
+			unplaced = append(unplaced, t)
 			misses++
 			continue
 		}
-		o.send(now, v, t)
+		o.sendStart(now, v, t)
 	}
-	for _, t := range back {
+	for _, t := range unplaced {
 		o.waiting.push(t)
 	}
 }
 
-// maxMisses is how many tasks that find no room are looked at in one go.
+// maxMisses bounds the tasks without a suitable gate that one call of place tries.
 const maxMisses = 8
 
 func (o *Owner) usableGates() []*gateView {
-	usable := make([]*gateView, 0, len(o.near))
-	for _, v := range o.near {
+	usable := make([]*gateView, 0, len(o.activeGates))
+	for _, v := range o.activeGates {
 		if v.linked && v.report.Open && !v.report.Suspect {
 			usable = append(usable, v)
 		}
@@ -59,7 +59,7 @@
 	return usable
 }
 
-// choose returns the gate that a task goes to, or nil.
+// choose returns the gate for a task, or nil if none has room.
 func (o *Owner) choose(now Time, usable []*gateView, median float64, t *task) *gateView {
 	if o.options.Policy != nil {
 		return o.chooseByPolicy(now, usable, median, t)
@@ -74,12 +74,13 @@
 		}
 	}
 	if best == nil {
-		o.forgiveAll(usable, t)
+		o.clearAvoided(usable, t)
 	}
 	return best
 }
 
-// score rates a gate for a task; higher is better.
+// score rates a gate for a task; higher is better. It returns false if the gate can't
+// take the task.
 func (o *Owner) score(now Time, v *gateView, t *task, median float64) (float64, bool) {
 	capacity := v.report.Capacity
 	if t.avoid[v.name] || v.report.Service != t.job.record.Queue.Service || capacity.CPU == 0 || !capacity.Fits(t.step.Need) {
@@ -88,7 +89,7 @@
 	if t.step.Label != "" && !slices.Contains(v.report.Labels, t.step.Label) {
 		return 0, false
 	}
-	if t.step.Spread > 0 && o.onGate(v, t) >= t.step.Spread {
+	if t.step.Spread > 0 && o.countOnGate(v, t) >= t.step.Spread {
 		return 0, false
 	}
 	free := v.free()
@@ -106,9 +107,9 @@
 	return score, true
 }
 
-// queueShare is how much of a gate's room may wait there, in thousandths, for a
-// task to be sent to it. Tasks of the first priority go also to gates whose queue
-// is full: these give back what comes after them.
+// queueShare returns the share of a gate's capacity, in thousandths, that may be queued
+// there for the gate to accept a task. Tasks of the highest priority are also sent to
+// gates with a full queue, which then return tasks of lower priority.
 func queueShare(now Time, t *task) int {
 	if t.job.record.Queue.Priority == 0 && now >= t.fullUntil {
 		return 2 * gate.QueueShare
@@ -116,8 +117,8 @@
 	return gate.QueueShare
 }
 
-// onGate counts the tasks of a task's step that are on a gate.
-func (o *Owner) onGate(v *gateView, t *task) int {
+// countOnGate returns how many tasks of t's step are placed on a gate.
+func (o *Owner) countOnGate(v *gateView, t *task) int {
 	n := 0
 	for _, other := range t.job.tasks {
 		if other.step == t.step && other.gate == v.name && (other.phase == taskPlaced || other.phase == taskRunning) {
@@ -127,8 +128,8 @@
 	return n
 }
 
-// forgiveAll lets a task that avoids every gate that it could use go to any.
-func (o *Owner) forgiveAll(usable []*gateView, t *task) {
+// clearAvoided lets a task that avoids every usable gate go to any of them.
+func (o *Owner) clearAvoided(usable []*gateView, t *task) {
 	for _, v := range usable {
 		if !t.avoid[v.name] {
 			return
@@ -151,8 +152,8 @@
 	return all[len(all)/2]
 }
 
-// send orders a run of a task at a gate.
-func (o *Owner) send(now Time, v *gateView, t *task) {
+// sendStart places a task on a gate: it queues the order to start a run of it.
+func (o *Owner) sendStart(now Time, v *gateView, t *task) {
 	t.run = max(t.run+1, job.FirstRun(t.job.record.Generation))
 	t.phase = taskPlaced
 	if !t.job.placed {
@@ -168,15 +169,15 @@
 		Rank:       o.rank(now, v, t),
 		Checkpoint: t.checkpoint, BestEffort: t.job.record.BestEffort,
 	})
-	v.poke()
+	v.notify()
 }
 
-// rank translates a job's urgency to the gate's clock, in microseconds.
+// rank converts a job's urgency to the gate's clock, in microseconds.
 func (o *Owner) rank(now Time, v *gateView, t *task) int64 {
 	gateNow := v.clock + (now - v.heard)
 	rank := gateNow + t.job.urgency - now
 	if t.job.late {
-		rank += lateRank
+		rank += lateRankPenalty
 	}
 	return rank.Microseconds()
 }
--- a/owner/policy.go
+++ b/owner/policy.go
@@ -8,18 +8,18 @@
 	"rackspur/job"
 )
 
-// Policy makes the decisions that operators may program. What must always hold
-// (room, labels, spread, executors that a task avoids) is no matter of policy:
-// Place sees only the gates that may take the task.
+// Policy makes the decisions that operators can program. Hard constraints (room,
+// labels, spread, gates to avoid) are not left to it: Place is given only gates that
+// satisfy them.
 type Policy interface {
-	// Admit decides whether a new job is taken.
+	// Admit decides whether a new job is admitted.
 	Admit(j dispatch.JobView) dispatch.Verdict
-	// Place chooses a target for one task: to start at, or one of those to wait at
-	// as soon as it has room.
+	// Place chooses a target for one task: one to start at, or several of which any may
+	// take the task as soon as it has room.
 	Place(j dispatch.JobView, targets []dispatch.TargetView) dispatch.Plan
 }
 
-// admitsByPolicy asks the policy about a new job.
+// admitsByPolicy asks the policy whether a new job is admitted.
 func (o *Owner) admitsByPolicy(now Time, j *liveJob, capacity int) bool {
 	v := o.jobView(now, j, &j.record.Steps[0])
 	v.Tasks = len(j.tasks)
@@ -35,7 +35,7 @@
 	return o.options.Policy.Admit(v).Admit
 }
 
-// chooseByPolicy asks the policy where a task goes; nil lets it wait.
+// chooseByPolicy asks the policy for the gate of a task; nil lets the task wait.
 func (o *Owner) chooseByPolicy(now Time, usable []*gateView, median float64, t *task) *gateView {
 	var gates []*gateView
 	var views []dispatch.TargetView
@@ -49,7 +49,7 @@
 		views = append(views, view)
 	}
 	if len(gates) == 0 {
-		o.forgiveAll(usable, t)
+		o.clearAvoided(usable, t)
 		return nil
 	}
 	view := o.jobView(now, t.job, t.step)
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// placeOf returns the target that a plan for one task sends it to: the first to
-// start at, else the one with most room of those to wait at.
+// placeOf returns the target that a plan for one task selects: the first to start at,
+// else the one with the most room among those to wait at.
 func placeOf(p dispatch.Plan, targets []dispatch.TargetView) (best int, ok bool) {
 	for _, s := range p.Start {
 		if s.N > 0 && s.Target >= 0 && s.Target < len(targets) {
@@ -82,27 +82,27 @@
 	return best, ok
 }
 
-// jobView is what a policy sees of a job, for one task of a step.
+// jobView returns the policy's view of a job, for one task of a step.
 func (o *Owner) jobView(now Time, j *liveJob, s *job.Step) dispatch.JobView {
 	return dispatch.JobView{
 		Submission: string(j.record.ID), Kind: j.record.Queue.Name, Tasks: 1,
-		ExpectMS: float64(s.EstimateMS), LongestMS: milliseconds(j.chain()),
+		ExpectMS: float64(s.EstimateMS), LongestMS: milliseconds(j.criticalPath()),
 		DeadlineMS: milliseconds(j.objective - now), MaxWaitMS: milliseconds(j.startBy - now),
 		HomeWaiting: o.waiting.len(),
 	}
 }
 
-// targetView is what a policy sees of a gate: its room as the number of tasks
-// that need so much. What may wait at the gate counts as room.
+// targetView returns the policy's view of a gate. Its room is the number of tasks with
+// this need that fit, including those that may be queued at the gate.
 func targetView(v *gateView, need job.Resources) dispatch.TargetView {
 	capacity := v.report.Capacity
 	free := v.free().Plus(job.Resources{CPU: capacity.CPU * gate.QueueShare / 1000})
 	return dispatch.TargetView{
-		Name: v.name, Domain: v.zone, Slots: tasksIn(capacity, need), Free: tasksIn(free, need), Pace: v.report.Slowness,
+		Name: v.name, Domain: v.domain, Slots: tasksIn(capacity, need), Free: tasksIn(free, need), Pace: v.report.Slowness,
 	}
 }
 
-// tasksIn returns how many tasks fit into a room.
+// tasksIn returns how many tasks with this need fit into a room.
 func tasksIn(room, need job.Resources) int {
 	n := job.MaxTasks
 	for _, r := range [...]struct{ room, need int }{{room.CPU, need.CPU}, {room.Memory, need.Memory}, {room.GPU, need.GPU}} {
--- a/owner/policy_test.go
+++ b/owner/policy_test.go
@@ -14,12 +14,12 @@
 	"rackspur/policy"
 )
 
-// programmed is the policy of an operator's program.
-type programmed struct{ *policy.Engine }
+// enginePolicy adapts a policy.Engine to Policy.
+type enginePolicy struct{ *policy.Engine }
 
-func (p programmed) Admit(j dispatch.JobView) dispatch.Verdict { return p.Current().Admit(j) }
+func (p enginePolicy) Admit(j dispatch.JobView) dispatch.Verdict { return p.Current().Admit(j) }
 
-func (p programmed) Place(j dispatch.JobView, t []dispatch.TargetView) dispatch.Plan {
+func (p enginePolicy) Place(j dispatch.JobView, t []dispatch.TargetView) dispatch.Plan {
 	return p.Current().Place(j, t)
 }
 
@@ -35,20 +35,20 @@
     return accept()
 `
 
-func newPolicyBench(t *testing.T, p config.Policies) *bench {
+func newPolicyHarness(t *testing.T, p config.Policies) *harness {
 	t.Helper()
 	engine, err := policy.NewFixed(p, observe.NewMetrics(), logr.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := newBench(t)
-	b.owner.options.Policy = programmed{engine}
+	b := newHarness(t)
+	b.owner.options.Policy = enginePolicy{engine}
 	return b
 }
 
-// An operator's program chooses among the gates that may take a task.
+// A program chooses among the gates that can take a task.
 func TestPolicyPlaces(t *testing.T) {
-	b := newPolicyBench(t, config.Policies{Place: lastTarget})
+	b := newPolicyHarness(t, config.Policies{Place: lastTarget})
 	links := map[string]uint64{}
 	for _, name := range []string{"gate-1", "gate-2", "gate-3"} {
 		links[name] = b.connect(name)
@@ -65,10 +65,9 @@
 	}
 }
 
-// A program can't send a task to where it may not run: a gate without room is
-// not among those that it sees.
+// A program is not offered gates without room, so it can't send tasks there.
 func TestPolicySeesUsableGates(t *testing.T) {
-	b := newPolicyBench(t, config.Policies{Place: lastTarget})
+	b := newPolicyHarness(t, config.Policies{Place: lastTarget})
 	first, last := b.connect("gate-1"), b.connect("gate-2")
 	r := testReport()
 	r.Free = job.Resources{}
@@ -76,33 +75,33 @@
 	b.owner.OnFrame("gate-2", last, gate.Frame{Clock: b.now, Report: r})
 	b.submit(1, 2)
 	if n := len(b.flush("gate-1", first).Starts); n != 2 {
-		t.Errorf("%d starts where there is room, want 2", n)
+		t.Errorf("%d starts on the gate with room, want 2", n)
 	}
 	if n := len(b.flush("gate-2", last).Starts); n != 0 {
-		t.Errorf("%d starts where there is none", n)
+		t.Errorf("%d starts on the gate without room", n)
 	}
 }
 
-// An operator's program refuses jobs, and truly.
+// A program can refuse jobs.
 func TestPolicyAdmits(t *testing.T) {
-	b := newPolicyBench(t, config.Policies{Admit: fewTasks})
+	b := newPolicyHarness(t, config.Policies{Admit: fewTasks})
 	link := b.connect("gate-1")
 	if r := b.submit(1, 5); r == nil || !r.Refused {
 		t.Errorf("answered %+v, want refused", r)
 	}
 	if r := b.submit(2, 4); r != nil {
-		t.Errorf("answered %+v, want taken", *r)
+		t.Errorf("answered %+v, want accepted", *r)
 	}
 	if n := len(b.flush("gate-1", link).Starts); n != 4 {
-		t.Errorf("%d starts, want the 4 of the job that was taken", n)
+		t.Errorf("%d starts, want the 4 of the accepted job", n)
 	}
 }
 
-// Every shipped set serves a job.
+// Every shipped set places all tasks of a job.
 func TestShippedSetsPlace(t *testing.T) {
 	for _, name := range policy.Names() {
 		t.Run(name, func(t *testing.T) {
-			b := newPolicyBench(t, config.Policies{Base: name})
+			b := newPolicyHarness(t, config.Policies{Base: name})
 			links := map[string]uint64{"gate-1": b.connect("gate-1"), "gate-2": b.connect("gate-2")}
 			if r := b.submit(1, 6); r != nil {
 				t.Fatalf("answered %+v", *r)
--- a/owner/queue.go
+++ b/owner/queue.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// taskQueue holds the tasks that wait for a gate, the most urgent first.
+// taskQueue holds the tasks that wait for a gate, ordered by urgency.
 type taskQueue struct {
 	items taskHeap
 }
--- a/owner/stall.go
+++ b/owner/stall.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// stallAfter is how long a task may stay in a phase before a line tells why.
+// stallAfter is how long a task may stay in a phase before it is logged as stalled.
 const stallAfter = 4 * time.Second
 
-// tellStalled writes a line for each job that is kept and one of whose tasks has
-// neither run nor ended for long, once. Of other jobs gates tell ends only.
-func (o *Owner) tellStalled(now Time) {
+// logStalled logs, once per job, durable jobs with a task that has neither run nor
+// ended for stallAfter. Best-effort jobs are left out: gates report only the ends of
+// their runs.
+func (o *Owner) logStalled(now Time) {
 	for _, j := range o.jobs {
-		if j.stallTold || j.record.BestEffort || j.phase == jobInserting || now-j.arrived < stallAfter {
+		if j.stallLogged || j.record.BestEffort || j.phase == jobInserting || now-j.arrived < stallAfter {
 			continue
 		}
 		for _, t := range j.tasks {
 			if t.phase == taskRunning || t.phase == taskDone || now-t.since < stallAfter {
 				continue
 			}
-			j.stallTold = true
+			j.stallLogged = true
 			o.stats.Stalled++
-			o.log.Info("Task stands still.", "job", j.record.ID, "task", t.index, "phase", t.phase.String(), "run", t.run,
+			o.log.Info("Task is stalled.", "job", j.record.ID, "task", t.index, "phase", t.phase.String(), "run", t.run,
 				"gate", t.gate, "since", (now - t.since).String(), "jobPhase", int(j.phase), "waiting", o.waiting.len(),
 				"usable", len(o.usableGates()), "avoided", len(t.avoid), "queued", t.position >= 0, "late", j.late)
 			break
--- a/owner/submit.go
+++ b/owner/submit.go
@@ -8,36 +8,36 @@
 	"rackspur/rowstore"
 )
 
-// SubmitResult says what became of a submission.
+// SubmitResult is the outcome of a submission.
 type SubmitResult int
 
-// The results.
+// The outcomes of a submission.
 const (
-	// SubmitAccepted: the job is kept, taken now or earlier.
+	// SubmitAccepted: the job is durable, accepted now or earlier.
 	SubmitAccepted SubmitResult = iota + 1
-	// SubmitRefused: the job is not taken and never runs.
+	// SubmitRefused: the job is not accepted and never runs.
 	SubmitRefused
-	// SubmitUnknown: the job may have been taken.
+	// SubmitUnknown: the job may have been accepted.
 	SubmitUnknown
 )
 
-// storeDownAfter is how long the store's calls must have failed for new jobs to
-// be refused without a try.
+// storeDownAfter is how long calls to the store must have been failing for new jobs to
+// be refused without an attempt.
 const storeDownAfter = 150 * time.Millisecond
 
-// Submit hands in a job; the result is told once, maybe before Submit returns.
+// Submit accepts a durable job. It calls result once, possibly before it returns.
 func (o *Owner) Submit(s job.Submission, result func(SubmitResult)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.options.Now()
-	o.heardFromOutside(now)
+	o.noteContact(now)
 	if _, ok := o.ended[s.ID]; ok {
 		result(SubmitAccepted)
 		return
 	}
 	if j := o.jobs[s.ID]; j != nil {
 		if j.phase == jobInserting {
-			j.accepted = append(j.accepted, result)
+			j.submitters = append(j.submitters, result)
 			return
 		}
 		result(SubmitAccepted)
@@ -53,12 +53,12 @@
 		AcceptedMS: o.options.WallClock().UnixMilli(),
 	}, now)
 	j.setUrgency()
-	j.accepted = append(j.accepted, result)
+	j.submitters = append(j.submitters, result)
 	o.jobs[s.ID] = j
 	o.insert(j)
 }
 
-// mayTake says whether a job is let in.
+// mayTake reports whether a job is admitted.
 func (o *Owner) mayTake(now Time, s *job.Submission) bool {
 	if !o.active(now) {
 		return false
@@ -69,7 +69,7 @@
 	return o.admitsSubmission(now, s)
 }
 
-// insert writes the row of a new job on the condition that it is not there.
+// insert writes the row of a new job, provided that it does not exist.
 func (o *Owner) insert(j *liveJob) {
 	id := j.record.ID
 	live, finished := o.key(TableJobs, id), o.key(TableFinished, id)
@@ -84,14 +84,14 @@
 	o.writer.Add(o.part(id), j.insert)
 }
 
-// inserted takes in the outcome of the insert of a new job.
+// inserted processes the outcome of an insert.
 func (o *Owner) inserted(j *liveJob, out rowstore.Outcome, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.options.Now()
 	if o.jobs[j.record.ID] != j {
-		// The job was there already, and has been taken over meanwhile.
-		j.tellAccepted(SubmitAccepted)
+		// The job existed already and was taken over meanwhile.
+		j.answerSubmitters(SubmitAccepted)
 		return
 	}
 	if err != nil {
@@ -102,27 +102,28 @@
 		j.phase = jobLive
 		j.version = out.Version
 		o.stats.Accepted++
-		j.tellAccepted(SubmitAccepted)
+		j.answerSubmitters(SubmitAccepted)
 		o.makeReady(now, j)
 		o.place(now)
 	case errors.Is(err, rowstore.ErrConflict):
-		// The job was handed in at another daemon, or earlier at this one.
-		j.tellAccepted(SubmitAccepted)
+		// The job was submitted at another box, or earlier at this one.
+		j.answerSubmitters(SubmitAccepted)
 	default:
 		o.stats.Refused++
-		j.tellAccepted(SubmitRefused)
+		j.answerSubmitters(SubmitRefused)
 	}
 }
 
-func (j *liveJob) tellAccepted(r SubmitResult) {
-	for _, f := range j.accepted {
+func (j *liveJob) answerSubmitters(r SubmitResult) {
+	for _, f := range j.submitters {
 		f(r)
 	}
-	j.accepted = nil
+	j.submitters = nil
 }
 
-// GiveUp ends the wait for a submission's result: it tells SubmitRefused if the
-// job was surely not handed to the store and takes it back, else SubmitUnknown.
+// GiveUp ends the wait for the result of a submission. It returns SubmitRefused if the
+// insert could be withdrawn before it was sent to the store, SubmitAccepted if the job
+// is live, and SubmitUnknown otherwise.
 func (o *Owner) GiveUp(id job.ID) SubmitResult {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -132,7 +133,7 @@
 		return SubmitUnknown
 	case j.phase != jobInserting:
 		return SubmitAccepted
-	case len(j.accepted) <= 1 && o.writer.Withdraw(o.part(id), j.insert):
+	case len(j.submitters) <= 1 && o.writer.Withdraw(o.part(id), j.insert):
 		delete(o.jobs, id)
 		o.stats.Refused++
 		return SubmitRefused
@@ -140,8 +141,8 @@
 	return SubmitUnknown
 }
 
-// makeReady puts the tasks that may start into the queue. While a job is being
-// taken over any of its tasks may turn out to run.
+// makeReady queues the tasks of a job that may start. It does nothing while the job is
+// being taken over, since any task may turn out to be running.
 func (o *Owner) makeReady(now Time, j *liveJob) {
 	if j.phase == jobAdopting {
 		return
@@ -153,7 +154,7 @@
 	}
 }
 
-// enqueue makes a task wait for a gate, unless its job is to end.
+// enqueue queues a task for a gate, unless its job is to end.
 func (o *Owner) enqueue(now Time, t *task) {
 	if t.job.final != "" {
 		t.phase = taskBlocked
@@ -161,7 +162,7 @@
 	}
 	if t.job.closed {
 		t.phase = taskBlocked
-		o.dropLive(t.job)
+		o.dropIfLive(t.job)
 		return
 	}
 	t.phase = taskWaiting
--- a/owner/view.go
+++ b/owner/view.go
@@ -9,26 +9,28 @@
 	"rackspur/job"
 )
 
-// gateView is what the owner knows of a gate.
+// gateView is the owner's view of a gate.
 type gateView struct {
-	name string
-	zone string
-	// linked says whether a link is up that has brought a frame.
+	name   string
+	domain string
+	// linked is set once the current link has received a frame.
 	linked bool
 	link   uint64
 	wake   func()
-	// clock is the newest time of the gate, heard when it came.
+	// clock is the gate's time in its newest frame, heard the owner's time when that
+	// arrived.
 	clock gate.Time
 	heard Time
-	// presumed is set once the gate's runs were held to be over.
+	// presumed is set once the gate's runs were presumed over.
 	presumed bool
 	report   gate.Report
-	// adopted are the lives of which the gate has told its runs since it was last asked;
-	// handedOver is set once it has handed runs of any life to this owner.
+	// adopted are the incarnations whose runs the gate has reported since it was last
+	// asked; handedOver is set once the gate has handed runs of any incarnation over to
+	// this owner.
 	adopted    map[string]bool
 	handedOver bool
 
-	// busy says that runs are at the gate, or may be.
+	// busy is set while the gate has runs of the owner, or may have.
 	busy bool
 
 	sequence uint64
@@ -39,28 +41,28 @@
 	adopt    []string
 }
 
-// sentOrder is a start that the gate's report does not cover yet.
+// sentOrder is a start that the gate's report does not include yet.
 type sentOrder struct {
 	sequence uint64
 	name     job.RunName
 	need     job.Resources
 }
 
-// AddGate takes in a gate that is a member.
-func (o *Owner) AddGate(name, zone string) {
+// AddGate adds a gate that is a member.
+func (o *Owner) AddGate(name, domain string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.view(name).zone = zone
+	o.view(name).domain = domain
 }
 
-// Knows says whether a gate is a member, or has asked for a link.
+// Knows reports whether a gate is a member or has asked for a link.
 func (o *Owner) Knows(name string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.gates[name] != nil
 }
 
-// view returns the view of a gate, a new one if there is none.
+// view returns the view of a gate and adds one if there is none.
 func (o *Owner) view(name string) *gateView {
 	v := o.gates[name]
 	if v != nil {
@@ -71,26 +73,26 @@
 	return v
 }
 
-// approach takes a gate in among the near ones.
-func (o *Owner) approach(v *gateView) {
-	at, found := slices.BinarySearchFunc(o.near, v.name, func(v *gateView, name string) int { return strings.Compare(v.name, name) })
+// addActive adds a gate to the active ones.
+func (o *Owner) addActive(v *gateView) {
+	at, found := slices.BinarySearchFunc(o.activeGates, v.name, func(v *gateView, name string) int { return strings.Compare(v.name, name) })
 	if !found {
-		o.near = slices.Insert(o.near, at, v)
+		o.activeGates = slices.Insert(o.activeGates, at, v)
 	}
 }
 
-// leaveFar takes out of the near gates those that are not linked and have no runs any more.
-func (o *Owner) leaveFar() {
-	o.near = slices.DeleteFunc(o.near, func(v *gateView) bool { return v.presumed && !v.linked && v.wake == nil && !v.busy })
+// pruneActive removes gates that are not linked and have no runs from the active ones.
+func (o *Owner) pruneActive() {
+	o.activeGates = slices.DeleteFunc(o.activeGates, func(v *gateView) bool { return v.presumed && !v.linked && v.wake == nil && !v.busy })
 }
 
-// LinkUp takes in a new link to a gate. Wake is called whenever there is
-// something to send.
+// LinkUp registers a new link to a gate. It calls wake whenever there is something to
+// send.
 func (o *Owner) LinkUp(name string, link uint64, wake func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	v := o.view(name)
-	o.approach(v)
+	o.addActive(v)
 	v.link = link
 	v.linked = false
 	v.clock = 0
@@ -103,7 +105,7 @@
 	v.adopt = append([]string(nil), o.adopted...)
 }
 
-// LinkDown takes in that a link has closed.
+// LinkDown unregisters a link that was closed.
 func (o *Owner) LinkDown(name string, link uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -115,7 +117,7 @@
 	v.wake = nil
 }
 
-// Heard says how long ago a gate was heard of.
+// Heard returns the time since a gate was last heard from.
 func (o *Owner) Heard(name string) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -126,7 +128,7 @@
 	return o.options.Now() - v.heard
 }
 
-func (v *gateView) poke() {
+func (v *gateView) notify() {
 	if v.wake != nil {
 		v.wake()
 	}
@@ -134,30 +136,30 @@
 
 func (o *Owner) wakeAll() {
 	for _, v := range o.gates {
-		v.poke()
+		v.notify()
 	}
 }
 
-// keptEcho is the echo for runs of jobs that are kept.
-func (o *Owner) keptEcho(v *gateView) gate.Time {
+// durableEcho returns the echo for runs of durable jobs, 0 if the owner is not active.
+func (o *Owner) durableEcho(v *gateView) gate.Time {
 	if !o.active(o.options.Now()) {
 		return 0
 	}
 	return v.clock
 }
 
-// Flush returns the frame to send to a gate now; ok is false once the owner's
-// life is over or if the link is not the newest.
+// Flush returns the frame to send to a gate now; ok is false once the owner has stopped
+// or if the link is not the newest.
 func (o *Owner) Flush(name string, link uint64) (f gate.OwnerFrame, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	v := o.gates[name]
-	if v == nil || v.link != link || o.over {
+	if v == nil || v.link != link || o.stopped {
 		return gate.OwnerFrame{}, false
 	}
-	o.reviewIsolation(o.options.Now())
+	o.checkIsolation(o.options.Now())
 	v.sequence++
-	f = gate.OwnerFrame{Echo: o.echo(v), KeptEcho: o.keptEcho(v), Evacuations: o.evacuationsFor(o.options.Now(), v), Sequence: v.sequence, Starts: v.starts, Stops: v.stops, Verdicts: v.verdicts, Adopt: v.adopt}
+	f = gate.OwnerFrame{Echo: o.echo(v), KeptEcho: o.durableEcho(v), Evacuations: o.evacuationsFor(o.options.Now(), v), Sequence: v.sequence, Starts: v.starts, Stops: v.stops, Verdicts: v.verdicts, Adopt: v.adopt}
 	for _, s := range v.starts {
 		v.inFlight = append(v.inFlight, sentOrder{sequence: v.sequence, name: s.Name, need: s.Need})
 	}
@@ -168,7 +170,7 @@
 	return f, true
 }
 
-// free returns the room that the owner may count on at a gate.
+// free returns the room at a gate that the owner can use, less the starts in transit.
 func (v *gateView) free() job.Resources {
 	free := v.report.Free.Minus(v.report.Queued)
 	for _, s := range v.inFlight {
@@ -180,16 +182,16 @@
 	return free
 }
 
-// OnFrame takes in a frame of a gate.
+// OnFrame processes a frame of a gate.
 func (o *Owner) OnFrame(name string, link uint64, f gate.Frame) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.options.Now()
 	v := o.gates[name]
-	if v == nil || v.link != link || o.over {
+	if v == nil || v.link != link || o.stopped {
 		return
 	}
-	o.heardFromOutside(now)
+	o.noteContact(now)
 	v.linked = true
 	v.clock = f.Clock
 	v.heard = now
@@ -198,12 +200,12 @@
 	for len(v.inFlight) > 0 && v.inFlight[0].sequence <= f.Received {
 		v.inFlight = v.inFlight[1:]
 	}
-	for _, life := range f.Adopted {
-		v.adopted[life] = true
+	for _, incarnation := range f.Adopted {
+		v.adopted[incarnation] = true
 		v.handedOver = true
 	}
 	if f.Inventory {
-		o.forgetFound(v)
+		o.clearReported(v)
 	}
 	for _, s := range f.States {
 		o.onState(now, v, s)
@@ -215,8 +217,8 @@
 	o.place(now)
 }
 
-// reconcile compares an inventory with what the owner believes to be placed on
-// the gate: a run that the gate does not know has never started.
+// reconcile requeues the tasks that are placed on a gate but missing from its
+// inventory: their runs have never started or are lost.
 func (o *Owner) reconcile(now Time, v *gateView, states []gate.RunState) {
 	known := make(map[job.RunName]bool, len(states))
 	for _, s := range states {
@@ -225,16 +227,16 @@
 	for _, j := range o.jobs {
 		for _, t := range j.tasks {
 			placed := t.phase == taskPlaced || t.phase == taskRunning
-			if placed && t.gate == v.name && !known[t.runName()] && !v.onItsWay(t) {
-				o.replace(now, t)
+			if placed && t.gate == v.name && !known[t.runName()] && !v.inTransit(t) {
+				o.requeue(now, t)
 			}
 		}
 	}
 }
 
-// onItsWay says whether the gate had not received a task's start over this link
-// when it sent its newest frame.
-func (v *gateView) onItsWay(t *task) bool {
+// inTransit reports whether a task's start had not reached the gate over this link when
+// it sent its newest frame.
+func (v *gateView) inTransit(t *task) bool {
 	for _, s := range v.inFlight {
 		if s.name == t.runName() {
 			return true
@@ -248,11 +250,11 @@
 	return false
 }
 
-// presumeSilentGates holds the runs of gates that were not heard of for long
-// enough to be over.
+// presumeSilentGates requeues the tasks of gates that were not heard from for so long
+// that their runs are certainly over.
 func (o *Owner) presumeSilentGates(now Time) {
-	for _, v := range o.near {
-		if v.presumed || now-max(v.heard, o.resumed) < o.overAfter() {
+	for _, v := range o.activeGates {
+		if v.presumed || now-max(v.heard, o.leaseResumed) < o.overAfter() {
 			continue
 		}
 		v.presumed = true
@@ -260,15 +262,15 @@
 			for _, t := range j.tasks {
 				if t.gate == v.name && (t.phase == taskPlaced || t.phase == taskRunning) {
 					o.stats.PresumedOver++
-					o.replace(now, t)
+					o.requeue(now, t)
 				}
 			}
 		}
 	}
 }
 
-// overAfter is how long after the last word from a gate its runs are over: the
-// gate has stopped them after the contact time, or their lease has lapsed after it.
+// overAfter returns how long after a gate was last heard from its runs are over: it has
+// stopped them after the contact time, or their lease has expired after it.
 func (o *Owner) overAfter() time.Duration {
 	return o.options.Contact + o.options.Lease*103/100 + presumeMargin
 }
--- a/owner/write.go
+++ b/owner/write.go
@@ -8,15 +8,15 @@
 	"rackspur/rowstore"
 )
 
-// touch marks a record as changed; it is written after a short time.
-func (o *Owner) touch(now Time, j *liveJob) {
+// markDirty marks a record as changed; it is written after progressDelay.
+func (o *Owner) markDirty(now Time, j *liveJob) {
 	if !j.dirty && !j.record.BestEffort {
 		j.dirty = true
 		j.dirtySince = now
 	}
 }
 
-// writeProgress writes the records that have changed for long enough.
+// writeProgress writes the records that changed at least progressDelay ago.
 func (o *Owner) writeProgress(now Time) {
 	for _, j := range o.jobs {
 		if j.dirty && !j.writing && j.phase == jobLive && now-j.dirtySince >= progressDelay {
@@ -50,25 +50,25 @@
 		return
 	}
 	j.version = out.Version
-	o.note(j.inWrite)
+	o.noteDurable(j.inWrite)
 	j.inWrite = nil
 	if j.phase == jobEnding {
 		o.writeFinal(j)
 	}
 }
 
-// lostJob drops a job whose row another life has changed.
+// lostJob removes a job whose row another incarnation has changed.
 func (o *Owner) lostJob(j *liveJob, err error) {
 	o.log.Info("Lost a job to another owner.", "job", j.record.ID, "error", err.Error())
 	delete(o.jobs, j.record.ID)
 	for _, t := range j.tasks {
 		o.waiting.remove(t)
 	}
-	j.tellWaiters()
+	j.notifyWaiters()
 }
 
-// finish ends a job in a state once that is durable. Until then no task of it
-// starts any more.
+// finish ends a job in a state, which counts once it is durable. No task of the job
+// starts from now on.
 func (o *Owner) finish(now Time, j *liveJob, state job.State) {
 	if j.final != "" {
 		return
@@ -120,7 +120,7 @@
 	o.conclude(now, j)
 }
 
-// conclude takes in that the end of a job holds.
+// conclude completes a job whose end is durable, or a best-effort job.
 func (o *Owner) conclude(now Time, j *liveJob) {
 	o.countEnd(now, j)
 	e := &endedJob{state: j.final, queue: j.record.Queue.Name, at: now, bestEffort: j.record.BestEffort, runs: map[job.TaskName]int{}}
@@ -131,27 +131,27 @@
 	}
 	o.ended[j.record.ID] = e
 	delete(o.jobs, j.record.ID)
-	o.note(j.inWrite)
-	o.note(j.unwritten)
+	o.noteDurable(j.inWrite)
+	o.noteDurable(j.unwritten)
 	o.stopAll(j)
-	for _, f := range j.found {
+	for _, f := range j.reported {
 		o.onForeign(o.gates[f.gate], f.state)
 	}
-	j.tellWaiters()
-	j.tellCallers(BestEffortResult{State: j.final})
+	j.notifyWaiters()
+	j.answerCallers(BestEffortResult{State: j.final})
 }
 
 // stopAll stops the runs of all tasks of a job.
 func (o *Owner) stopAll(j *liveJob) {
 	for _, t := range j.tasks {
-		o.stopEverywhere(t)
+		o.stopRun(t)
 	}
 }
 
-// stopEverywhere stops the run of a task of a job that has ended. A start that was not
-// handed to the link is taken back: a gate takes in the stops of a frame before its
-// starts, and the run would go on.
-func (o *Owner) stopEverywhere(t *task) {
+// stopRun stops the run of a task whose job has ended. A start that was not handed to
+// the link is withdrawn instead: a gate processes the stops of a frame before its
+// starts, so the run would go on.
+func (o *Owner) stopRun(t *task) {
 	v := o.gates[t.gate]
 	if v == nil || (t.phase != taskPlaced && t.phase != taskRunning) {
 		return
@@ -163,8 +163,7 @@
 	v.stop(t.runName())
 }
 
-// withdraw takes back a start that was not handed to the link; it reports whether it
-// was so.
+// withdraw removes a start that was not handed to the link and reports whether it did.
 func (v *gateView) withdraw(name job.RunName) bool {
 	if !v.holdsStart(name) {
 		return false
@@ -174,7 +173,7 @@
 }
 
 func (o *Owner) countEnd(now Time, j *liveJob) {
-	o.tellEnd(now, j)
+	o.logEnd(now, j)
 	o.observeEnd(now - j.arrived)
 	switch j.final {
 	case job.StateCompleted:
@@ -185,7 +184,7 @@
 		o.stats.Cancelled++
 	}
 	switch {
-	case now > j.lateBy:
+	case now > j.veryLateAt:
 		o.stats.VeryLate++
 	case now > j.objective:
 		o.stats.Late++
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,7 +6,7 @@
 	"rackspur/dispatch"
 )
 
-// benchTargets is the number of candidates an entry box proposes at most.
+// benchTargets is the maximum number of candidates that an entry box proposes.
 const benchTargets = 32
 
 func benchInput() (dispatch.JobView, []dispatch.TargetView) {
--- a/policy/builtins.go
+++ b/policy/builtins.go
@@ -11,20 +11,20 @@
 	"rackspur/dispatch"
 )
 
-// builtins are the names that a program has beside Starlark's own.
+// builtins are the predeclared names in addition to Starlark's own.
 var builtins = starlark.StringDict{
-	"accept":  starlark.NewBuiltin("accept", biAccept),
-	"refuse":  starlark.NewBuiltin("refuse", biRefuse),
-	"plan":    starlark.NewBuiltin("plan", biPlan),
-	"again":   starlark.NewBuiltin("again", biAgain),
-	"give_up": starlark.NewBuiltin("give_up", biGiveUp),
-	"move":    starlark.NewBuiltin("move", biMove),
-	"random":  starlark.NewBuiltin("random", biRandom),
-	"sample":  starlark.NewBuiltin("sample", biSample),
-	"median":  starlark.NewBuiltin("median", biMedian),
-}
-
-// decision wraps a typed result so that a program can't make one up.
+	"accept":  starlark.NewBuiltin("accept", builtinAccept),
+	"refuse":  starlark.NewBuiltin("refuse", builtinRefuse),
+	"plan":    starlark.NewBuiltin("plan", builtinPlan),
+	"again":   starlark.NewBuiltin("again", builtinAgain),
+	"give_up": starlark.NewBuiltin("give_up", builtinGiveUp),
+	"move":    starlark.NewBuiltin("move", builtinMove),
+	"random":  starlark.NewBuiltin("random", builtinRandom),
+	"sample":  starlark.NewBuiltin("sample", builtinSample),
+	"median":  starlark.NewBuiltin("median", builtinMedian),
+}
+
+// decision wraps a typed result, so that programs can't construct results themselves.
 type decision struct {
 	starlark.Value
 	result any
@@ -34,14 +34,14 @@
 	return &decision{Value: starlark.String(name), result: result}
 }
 
-func biAccept(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+func builtinAccept(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs); err != nil {
 		return nil, err
 	}
 	return newDecision("accept", dispatch.Verdict{Admit: true}), nil
 }
 
-func biRefuse(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+func builtinRefuse(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	reason := ""
 	var after starlark.Value = starlark.MakeInt(0)
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "reason", &reason, "retry_ms?", &after); err != nil {
@@ -52,22 +52,22 @@
 	return newDecision("refuse", v), nil
 }
 
-// planned is a plan before its indexes are checked.
-type planned struct {
+// rawPlan is a plan whose indexes are not checked yet.
+type rawPlan struct {
 	start starlark.Iterable
 	wait  starlark.Iterable
 	eager bool
 }
 
-func biPlan(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
-	p := planned{start: starlark.Tuple{}, wait: starlark.Tuple{}}
+func builtinPlan(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+	p := rawPlan{start: starlark.Tuple{}, wait: starlark.Tuple{}}
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "start?", &p.start, "wait?", &p.wait, "eager?", &p.eager); err != nil {
 		return nil, err
 	}
 	return newDecision("plan", p), nil
 }
 
-func biAgain(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+func builtinAgain(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	var after starlark.Value = starlark.MakeInt(0)
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "after_ms?", &after); err != nil {
 		return nil, err
@@ -76,21 +76,21 @@
 	return newDecision("again", dispatch.RetryVerdict{Again: true, AfterMS: max(0, ms)}), nil
 }
 
-func biGiveUp(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+func builtinGiveUp(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs); err != nil {
 		return nil, err
 	}
 	return newDecision("give_up", dispatch.RetryVerdict{}), nil
 }
 
-func biMove(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+func builtinMove(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs); err != nil {
 		return nil, err
 	}
 	return newDecision("move", dispatch.DrainVerdict{Move: true}), nil
 }
 
-func biRandom(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+func builtinRandom(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	n := 0
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "n", &n); err != nil {
 		return nil, err
@@ -98,7 +98,7 @@
 	return starlark.MakeInt(rand.IntN(max(1, n))), nil
 }
 
-func biSample(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+func builtinSample(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	n, k := 0, 0
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "n", &n, "k", &k); err != nil {
 		return nil, err
@@ -111,7 +111,7 @@
 	return starlark.NewList(list), nil
 }
 
-func biMedian(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+func builtinMedian(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	var list starlark.Iterable
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "values", &list); err != nil {
 		return nil, err
@@ -130,13 +130,13 @@
 	return starlark.Float(values[len(values)/2]), nil
 }
 
-// record makes a struct value of names and values in turn.
-func record(d starlark.StringDict) starlark.Value {
+// newStruct returns a Starlark struct with the given fields.
+func newStruct(d starlark.StringDict) starlark.Value {
 	return starlarkstruct.FromStringDict(starlarkstruct.Default, d)
 }
 
 func jobValue(j dispatch.JobView) starlark.Value {
-	return record(starlark.StringDict{
+	return newStruct(starlark.StringDict{
 		"member":           starlark.String(j.Member),
 		"kind":             starlark.String(j.Kind),
 		"tasks":            starlark.MakeInt(j.Tasks),
@@ -156,7 +156,7 @@
 func targetsValue(targets []dispatch.TargetView) starlark.Value {
 	list := make([]starlark.Value, len(targets))
 	for i, t := range targets {
-		list[i] = record(starlark.StringDict{
+		list[i] = newStruct(starlark.StringDict{
 			"index":      starlark.MakeInt(i),
 			"name":       starlark.String(t.Name),
 			"domain":     starlark.String(t.Domain),
@@ -173,7 +173,7 @@
 }
 
 func retryValue(r dispatch.RetryView) starlark.Value {
-	return record(starlark.StringDict{
+	return newStruct(starlark.StringDict{
 		"kind":     starlark.String(r.Kind),
 		"refusals": starlark.MakeInt(r.Refusals),
 		"left_ms":  starlark.Float(r.LeftMS),
@@ -181,7 +181,7 @@
 }
 
 func drainValue(d dispatch.DrainView) starlark.Value {
-	return record(starlark.StringDict{
+	return newStruct(starlark.StringDict{
 		"jobs":    starlark.MakeInt(d.Jobs),
 		"waiting": starlark.MakeInt(d.Waiting),
 	})
--- a/policy/check.go
+++ b/policy/check.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// Check compiles the policies of a declaration and tries every program on the
-// samples. It returns ErrProgram, ErrNoSet or ErrDecision.
+// Check compiles policies and tries every program on the samples. It returns
+// ErrProgram, ErrNoSet or ErrDecision.
 func Check(c config.Policies) error {
 	set, err := Load(c)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// Try runs one hook on a sample and returns what it decides.
+// Try runs one hook on a sample and returns its decision.
 func (p *Program) Try(h Hook, s Sample) (any, error) {
 	switch h {
 	case HookAdmit:
--- a/policy/decide.go
+++ b/policy/decide.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return dispatch.Plan{}, steps, err
 	}
-	raw, err := unwrap[planned](v)
+	raw, err := unwrap[rawPlan](v)
 	if err != nil {
 		return dispatch.Plan{}, steps, err
 	}
@@ -43,9 +43,9 @@
 	return plan, steps, err
 }
 
-// check turns a program's plan into the core's. Indexes must be those of
-// targets, and no more tasks may be started than the job has.
-func (p planned) check(targets, tasks int) (dispatch.Plan, error) {
+// check converts the plan. Indexes must be valid, and no more tasks may be started than
+// the job has.
+func (p rawPlan) check(targets, tasks int) (dispatch.Plan, error) {
 	plan := dispatch.Plan{Eager: p.eager}
 	total := 0
 	shares := p.start.Iterate()
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -13,40 +13,41 @@
 	"rackspur/observe"
 )
 
-// watched is how many decisions are kept for those who watch.
-const watched = 512
+// maxRecent is the number of decisions that are kept for watchers.
+const maxRecent = 512
 
-// Decision is one decision as operators watch it.
+// Decision is one decision as shown to operators.
 type Decision struct {
 	At   time.Time `json:"at"`
 	Hook Hook      `json:"hook"`
-	// Program tells which program decided, Version under which configuration.
+	// Program is the program that decided, Version the version of its configuration.
 	Program string `json:"program"`
 	Version uint64 `json:"version"`
-	// Submission names the submission that it was about.
+	// Submission is the submission that the decision was about.
 	Submission string `json:"submission,omitempty"`
 	Inputs     []any  `json:"inputs"`
 	Outcome    any    `json:"outcome"`
 	Steps      uint64 `json:"steps,omitempty"`
-	// Failed is the error of a program that was replaced by the default.
+	// Failed is the error of a program that the default replaced.
 	Failed string `json:"failed,omitempty"`
-	// Shadow is what the shadow program would have decided, if it differs.
+	// Shadow is the decision of the shadow program, if it differs.
 	Shadow any `json:"shadow,omitempty"`
 }
 
-// Engine makes the decisions of the configuration in force.
+// Engine makes the decisions with the policies in force.
 type Engine struct {
 	metrics *observe.Metrics
 	log     logr.Logger
-	current atomic.Pointer[bound]
+	current atomic.Pointer[boundSet]
 
 	mu     sync.Mutex
 	recent []Decision
 	next   int
 }
 
-// bound is a set bound to its configuration version. It implements dispatch.Policy.
-type bound struct {
+// boundSet is a set with the version of its configuration. It implements
+// dispatch.Policy.
+type boundSet struct {
 	engine  *Engine
 	set     *Set
 	version uint64
@@ -55,21 +56,21 @@
 // NewEngine returns an engine that follows the holder's configuration.
 func NewEngine(h *config.Holder, m *observe.Metrics, log logr.Logger) *Engine {
 	e := &Engine{metrics: m, log: log.WithName("policy")}
-	e.current.Store(&bound{engine: e, set: &Set{}})
-	h.OnChange(e.configured)
+	e.current.Store(&boundSet{engine: e, set: &Set{}})
+	h.OnChange(e.onConfig)
 	return e
 }
 
-// configured takes the policies of a new configuration. They were checked when
-// it was applied; should they fail here all the same, the default decides.
-func (e *Engine) configured(c *config.Accepted) {
+// onConfig applies the policies of a new configuration. They were checked before; if
+// they fail to load nevertheless, the default decides.
+func (e *Engine) onConfig(c *config.Accepted) {
 	set, err := Load(c.Document.Policies)
 	if err != nil {
 		e.log.Error(err, "Policies are not usable. The default decides.", "version", c.Version)
 		e.metrics.Count(observe.MetricPolicyPrefix+"unusable", 1)
 		set = &Set{}
 	}
-	e.current.Store(&bound{engine: e, set: set, version: c.Version})
+	e.current.Store(&boundSet{engine: e, set: set, version: c.Version})
 }
 
 // Current returns the policy in force.
@@ -77,8 +78,8 @@
 	return e.current.Load()
 }
 
-// Recent returns the decisions kept, oldest first; those about one submission
-// if its name is given.
+// Recent returns the recent decisions, oldest first, or only those about a submission
+// if it is not empty.
 func (e *Engine) Recent(submission string) []Decision {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -92,20 +93,20 @@
 	return list
 }
 
-func (e *Engine) keep(d Decision) {
+func (e *Engine) addRecent(d Decision) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.recent) < watched {
+	if len(e.recent) < maxRecent {
 		e.recent = append(e.recent, d)
 		return
 	}
 	e.recent[e.next] = d
-	e.next = (e.next + 1) % watched
+	e.next = (e.next + 1) % maxRecent
 }
 
-// decide makes one decision: by the program for the hook, or by the default if
-// there is none or it fails. It counts and keeps what was decided.
-func decide[T any](b *bound, hook Hook, submission string, inputs []any, program func(*Program) (T, uint64, error), native func() T) T {
+// decide makes one decision: by the program for the hook, or by the default if there is
+// none or it fails. It counts and records the decision.
+func decide[T any](b *boundSet, hook Hook, submission string, inputs []any, program func(*Program) (T, uint64, error), native func() T) T {
 	d := Decision{At: time.Now(), Hook: hook, Program: "built-in", Version: b.version, Submission: submission, Inputs: inputs}
 	metric := observe.MetricPolicyPrefix + string(hook)
 	b.engine.metrics.Count(metric+".calls", 1)
@@ -132,33 +133,33 @@
 		}
 	}
 	d.Outcome = result
-	b.engine.keep(d)
+	b.engine.addRecent(d)
 	return result
 }
 
 // Admit implements dispatch.Policy.Admit.
-func (b *bound) Admit(j dispatch.JobView) dispatch.Verdict {
+func (b *boundSet) Admit(j dispatch.JobView) dispatch.Verdict {
 	return decide(b, HookAdmit, j.Submission, []any{j},
 		func(p *Program) (dispatch.Verdict, uint64, error) { return p.admit(j) },
 		func() dispatch.Verdict { return dispatch.Native{}.Admit(j) })
 }
 
 // Place implements dispatch.Policy.Place.
-func (b *bound) Place(j dispatch.JobView, targets []dispatch.TargetView) dispatch.Plan {
+func (b *boundSet) Place(j dispatch.JobView, targets []dispatch.TargetView) dispatch.Plan {
 	return decide(b, HookPlace, j.Submission, []any{j, targets},
 		func(p *Program) (dispatch.Plan, uint64, error) { return p.place(j, targets) },
 		func() dispatch.Plan { return dispatch.Native{}.Place(j, targets) })
 }
 
 // Retry implements dispatch.Policy.Retry.
-func (b *bound) Retry(r dispatch.RetryView) dispatch.RetryVerdict {
+func (b *boundSet) Retry(r dispatch.RetryView) dispatch.RetryVerdict {
 	return decide(b, HookRetry, r.Submission, []any{r},
 		func(p *Program) (dispatch.RetryVerdict, uint64, error) { return p.retry(r) },
 		func() dispatch.RetryVerdict { return dispatch.Native{}.Retry(r) })
 }
 
 // Drain implements dispatch.Policy.Drain.
-func (b *bound) Drain(v dispatch.DrainView) dispatch.DrainVerdict {
+func (b *boundSet) Drain(v dispatch.DrainView) dispatch.DrainVerdict {
 	return decide(b, HookDrain, "", []any{v},
 		func(p *Program) (dispatch.DrainVerdict, uint64, error) { return p.drain(v) },
 		func() dispatch.DrainVerdict { return dispatch.Native{}.Drain(v) })
--- a/policy/fixed.go
+++ b/policy/fixed.go
@@ -7,15 +7,14 @@
 	"rackspur/observe"
 )
 
-// NewFixed returns an engine that decides by policies which are not part of a
-// declaration, until Replace gives it others. Policies that can't be used are an
-// error.
+// NewFixed returns an engine with policies that don't come from a configuration;
+// Replace changes them. It returns an error if they can't be used.
 func NewFixed(p config.Policies, m *observe.Metrics, log logr.Logger) (*Engine, error) {
 	e := &Engine{metrics: m, log: log.WithName("policy")}
 	return e, e.Replace(p)
 }
 
-// Replace puts other policies in force; on an error those in force stay.
+// Replace puts other policies in force. On an error the current ones stay.
 func (e *Engine) Replace(p config.Policies) error {
 	if err := Check(p); err != nil {
 		return err
@@ -28,6 +27,6 @@
 	if old := e.current.Load(); old != nil {
 		version = old.version + 1
 	}
-	e.current.Store(&bound{engine: e, set: set, version: version})
+	e.current.Store(&boundSet{engine: e, set: set, version: version})
 	return nil
 }
--- a/policy/fixed_test.go
+++ b/policy/fixed_test.go
@@ -11,7 +11,7 @@
 	"rackspur/observe"
 )
 
-// Policies that can't be used leave those in force.
+// Policies that can't be used leave the current ones in force.
 func TestReplaceKeepsWhatWorks(t *testing.T) {
 	refuseAll := config.Policies{Admit: "def admit(job):\n    return refuse('closed', 100)\n"}
 	e, err := NewFixed(refuseAll, observe.NewMetrics(), logr.Discard())
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,7 +1,7 @@
-// Package policy runs operators' programs: short Starlark functions that admit,
-// place, retry and drain. A program has a step limit, no I/O, and typed inputs
-// and outputs; one that fails is replaced by the built-in default for that
-// decision, counted and logged.
+// Package policy runs operators' programs: short Starlark functions that decide on
+// admission, placement, retries and draining. A program has a step limit, no I/O, and
+// typed inputs and outputs. If it fails, the built-in default makes the decision, and
+// the failure is counted and logged.
 package policy
 
 import (
@@ -20,15 +20,15 @@
 //go:embed sets/*.star
 var shipped embed.FS
 
-// Names of the sets with a part of their own.
+// Names of shipped sets that the code refers to.
 const (
-	// Default is the set for programs that a declaration leaves out.
+	// Default is the set for hooks that a configuration leaves out.
 	Default = "default"
-	// FewMessages is the default weighted for few messages.
+	// FewMessages is the default set, weighted for few messages.
 	FewMessages = "few-messages"
 )
 
-// maxSteps bounds the steps of one decision.
+// maxSteps limits the Starlark steps of one decision.
 const maxSteps = 200_000
 
 // Hook names a decision that a program may make.
@@ -42,27 +42,27 @@
 	HookDrain Hook = "drain"
 )
 
-// hooks lists all hooks with the number of their arguments.
+// hooks maps all hooks to the number of their parameters.
 var hooks = map[Hook]int{HookAdmit: 1, HookPlace: 2, HookRetry: 1, HookDrain: 1}
 
 // Errors of this package.
 var (
-	// ErrProgram says that a program can't be used at all.
+	// ErrProgram reports a program that can't be used at all.
 	ErrProgram = eris.New("policy: bad program")
-	// ErrDecision says that a program failed in one decision.
+	// ErrDecision reports a program that failed in one decision.
 	ErrDecision = eris.New("policy: decision failed")
-	// ErrNoSet says that no shipped set has the name.
+	// ErrNoSet reports that no shipped set has the name.
 	ErrNoSet = eris.New("policy: no such set")
 )
 
-// Program is a compiled program with one function for each hook it has.
+// Program is a compiled program with a function for each hook that it defines.
 type Program struct {
-	// Name tells where the program comes from.
+	// Name identifies the source of the program.
 	Name      string
 	functions map[Hook]*starlark.Function
 }
 
-// Names returns the names of the shipped sets in order.
+// Names returns the sorted names of the shipped sets.
 func Names() []string {
 	entries, err := shipped.ReadDir("sets")
 	if err != nil {
@@ -76,7 +76,7 @@
 	return names
 }
 
-// Source returns the text of a shipped set, or ErrNoSet.
+// Source returns the source of a shipped set, or ErrNoSet.
 func Source(name string) (string, error) {
 	text, err := shipped.ReadFile("sets/" + name + ".star")
 	if err != nil {
@@ -85,8 +85,8 @@
 	return string(text), nil
 }
 
-// Compile reads a program. It must define at least one hook, with the right
-// number of arguments.
+// Compile compiles a program. It must define at least one hook, with the right number
+// of parameters.
 func Compile(name, source string) (*Program, error) {
 	thread := newThread(name)
 	opts := &syntax.FileOptions{}
@@ -112,7 +112,7 @@
 	return p, nil
 }
 
-// Has reports whether the program has a function for a hook.
+// Has reports whether the program defines a hook.
 func (p *Program) Has(h Hook) bool {
 	return p.functions[h] != nil
 }
@@ -123,7 +123,7 @@
 	return t
 }
 
-// call runs a hook. It returns the result and the number of steps.
+// call runs a hook and returns its result and the number of steps.
 func (p *Program) call(h Hook, args ...starlark.Value) (starlark.Value, uint64, error) {
 	thread := newThread(p.Name)
 	v, err := starlark.Call(thread, p.functions[h], args, nil)
@@ -136,7 +136,7 @@
 // Set holds the program for each hook of one configuration.
 type Set struct {
 	programs map[Hook]*Program
-	// Shadow runs beside the set; its decisions are only compared.
+	// Shadow runs in addition to the set; its decisions are only compared.
 	Shadow *Program
 }
 
@@ -145,7 +145,7 @@
 	return s.programs[h]
 }
 
-// Load compiles the policies of a declaration.
+// Load compiles the policies of a configuration.
 func Load(c config.Policies) (*Set, error) {
 	s := &Set{programs: map[Hook]*Program{}}
 	if c.Base != "" {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// TestNativeTwin holds the built-in default against the shipped program.
+// TestNativeTwin checks that the built-in default and the shipped program decide alike.
 func TestNativeTwin(t *testing.T) {
 	program, err := loadShipped(Default)
 	if err != nil {
