--- a/owner/active_test.go
+++ b/owner/active_test.go
@@ -48,16 +48,16 @@
 func BenchmarkTick(b *testing.B) {
 	for _, fleet := range []int{30, 800, 1600} {
 		b.Run(fmt.Sprintf("%d gates", fleet), func(b *testing.B) {
-			bench := newHarness(&testing.T{})
+			h := newHarness(&testing.T{})
 			for i := range fleet {
-				bench.owner.AddGate(fmt.Sprintf("side-%d", i), "zone-a")
+				h.owner.AddGate(fmt.Sprintf("side-%d", i), "zone-a")
 			}
 			for i := range 30 {
-				bench.connect(fmt.Sprintf("side-%d", i))
+				h.connect(fmt.Sprintf("side-%d", i))
 			}
 			for b.Loop() {
-				bench.now += 10 * time.Millisecond
-				bench.owner.Tick()
+				h.now += 10 * time.Millisecond
+				h.owner.Tick()
 			}
 		})
 	}
--- a/owner/adopt.go
+++ b/owner/adopt.go
@@ -7,24 +7,24 @@
 	"rackspur/job"
 )
 
-// reportedRun is a run that a gate reported while the run's job was being taken over.
+// reportedRun is a run that a gate reported while the run's job was being adopted.
 type reportedRun struct {
 	gate  string
 	state gate.RunState
 }
 
-// Adopted is a job that was taken over, with the version of its row under the new
+// Adopted is a job of a lost incarnation, with the version of its row under the new
 // owner.
 type Adopted struct {
 	Record  job.Record
 	Version uint64
 }
 
-// adoption is the take-over of the jobs of lost incarnations.
+// adoption tracks jobs of lost incarnations until the gates have reported their runs.
 type adoption struct {
-	// incarnations are all that were taken over so far, not only those of this
-	// adoption: one of them may have taken over another's jobs and been lost before
-	// every gate had reported.
+	// incarnations are all whose jobs were adopted so far, not only in this adoption:
+	// one of them may have adopted another's jobs and been lost before every gate had
+	// reported.
 	incarnations []string
 	// endedAt is when the incarnations had certainly ended.
 	endedAt Time
@@ -51,11 +51,11 @@
 	}
 }
 
-// Adopt takes over the jobs of lost incarnations for which StartAdoption was called.
-// The returned channel is closed once every gate has reported the runs of all
-// incarnations that were taken over so far, or the runs are certainly over. Until then
-// an owner that takes over from this one has to ask for these runs too. Without jobs no
-// gate is linked for that.
+// Adopt makes this owner responsible for jobs of lost incarnations for which
+// StartAdoption was called. The returned channel is closed once every gate has reported
+// the runs of all incarnations in Owner.adopted, or the runs are certainly over. Until
+// then an owner that adopts the jobs of this one has to ask for these runs too. If there
+// are no jobs, no gate is linked for that.
 func (o *Owner) Adopt(incarnations []string, endedAt Time, jobs []Adopted) (settled <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -71,7 +71,7 @@
 }
 
 // newAdoption adds an adoption that waits until all known gates have reported the runs
-// of all incarnations that were taken over so far.
+// of all incarnations in Owner.adopted.
 func (o *Owner) newAdoption(endedAt Time) *adoption {
 	a := &adoption{incarnations: slices.Clone(o.adopted), endedAt: endedAt, asked: map[string]bool{}, settled: make(chan struct{})}
 	for _, v := range o.gates {
@@ -151,8 +151,8 @@
 
 // expiryStart returns the time from which the runs of an adoption at a gate count as
 // over after overAfter: when the incarnations ended, or when the gate was last heard
-// from if it has handed runs over to this owner. Those go on while owner and gate are
-// in contact.
+// from if it has handed runs over to this owner. Such runs go on while owner and gate
+// are in contact.
 func (o *Owner) expiryStart(v *gateView, a *adoption) Time {
 	if v.handedOver {
 		return max(a.endedAt, v.heard)
@@ -160,7 +160,7 @@
 	return a.endedAt
 }
 
-// clearReported forgets the runs of jobs being taken over that a gate has reported
+// clearReported forgets the runs of jobs being adopted that a gate has reported
 // earlier: its inventory replaces them.
 func (o *Owner) clearReported(v *gateView) {
 	for _, a := range o.adoptions {
@@ -170,7 +170,7 @@
 	}
 }
 
-// resume continues a job that was taken over: of each task the newest run counts, all
+// resume continues a job that was adopted: of each task the newest run counts, all
 // others are discarded.
 func (o *Owner) resume(now Time, j *liveJob) {
 	reported := j.reported
@@ -192,7 +192,7 @@
 			o.onSuperseded(v, t, f.state)
 			continue
 		}
-		o.takeOverRun(now, v, t, f.state)
+		o.adoptRun(now, v, t, f.state)
 	}
 	if j.phase == jobAdopting {
 		j.phase = jobLive
@@ -217,9 +217,9 @@
 	o.onSuperseded(v, t, s)
 }
 
-// takeOverRun continues a reported run. Its number is below this owner's range, so
+// adoptRun continues a reported run. Its number is below this owner's range, so
 // later runs have higher numbers.
-func (o *Owner) takeOverRun(now Time, v *gateView, t *task, s gate.RunState) {
+func (o *Owner) adoptRun(now Time, v *gateView, t *task, s gate.RunState) {
 	if t.phase == taskBlocked {
 		t.run = s.Name.Run
 		t.gate = v.name
--- a/owner/adopt_test.go
+++ b/owner/adopt_test.go
@@ -11,7 +11,8 @@
 
 const lostIncarnation = "entry~0"
 
-// adoptJob takes over a job of a lost incarnation whose runs the gate reports.
+// adoptJob has the owner adopt a job of a lost incarnation; the gate reports the given
+// runs.
 func (b *harness) adoptJob(record job.Record, states []gate.RunState) uint64 {
 	link := b.connect("gate-1")
 	b.owner.StartAdoption([]string{lostIncarnation})
@@ -34,7 +35,7 @@
 	return job.RunName{TaskName: job.TaskName{Job: "00000000000000cc", Index: index}, Run: run}
 }
 
-// The runs of a job that gates report continue after a take-over. Only tasks without a
+// The runs of a job that gates report continue after an adoption. Only tasks without a
 // run start again, with run numbers of the new owner.
 func TestAdoptKeepsRuns(t *testing.T) {
 	b := newHarness(t)
@@ -56,7 +57,7 @@
 	}
 }
 
-// Recorded failures still count after a take-over; one that the lost owner did not
+// Recorded failures still count after an adoption; one that the lost owner did not
 // write counts once.
 func TestAdoptCountsFailures(t *testing.T) {
 	b := newHarness(t)
@@ -111,7 +112,7 @@
 	}
 }
 
-// A job that was taken over is pending until one of its runs is known to have started,
+// A job that was adopted is pending until one of its runs is known to have started,
 // since its former owner may have been lost before it placed any task.
 func TestAdoptedJobWaits(t *testing.T) {
 	tests := []struct {
@@ -139,7 +140,7 @@
 	}
 }
 
-// If an incarnation is lost during a take-over, the next owner must wait for the
+// If an incarnation is lost during an adoption, the next owner must wait for the
 // reports on the runs of both incarnations before it starts tasks or deletes a fence
 // row.
 func TestAdoptionOfAdopterWaitsForBothLives(t *testing.T) {
@@ -150,7 +151,7 @@
 	settled := b.owner.Adopt([]string{"entry~00"}, b.now, nil)
 	select {
 	case <-settled:
-		t.Error("the first take-over is settled before the gate has reported its runs")
+		t.Error("the first adoption is settled before the gate has reported its runs")
 	default:
 	}
 	record := durableRecord(1)
@@ -162,8 +163,8 @@
 	}
 }
 
-// A job that is submitted here again while it is being taken over must neither be
-// dropped by the take-over nor by the conflict of its insert.
+// A job that is submitted here again while it is being adopted must neither be dropped
+// by the adoption nor by the conflict of its insert.
 func TestJobHandedInDuringTakeOverIsKept(t *testing.T) {
 	for _, outcome := range []error{rowstore.ErrConflict, rowstore.ErrNotDone} {
 		b := newHarness(t)
@@ -177,12 +178,12 @@
 			t.Errorf("%v: results %v, want SubmitAccepted once", outcome, results)
 		}
 		if f := b.flush("gate-1", link); len(f.Starts) != 1 {
-			t.Errorf("%v: %d starts of the job that was taken over, want 1", outcome, len(f.Starts))
+			t.Errorf("%v: %d starts of the adopted job, want 1", outcome, len(f.Starts))
 		}
 	}
 }
 
-// A run that was reported during a take-over, and is missing from a later inventory of
+// A run that was reported during an adoption, and is missing from a later inventory of
 // the same gate, must start again.
 func TestRunLostDuringTakeOverStartsAgain(t *testing.T) {
 	b := newHarness(t)
@@ -211,7 +212,7 @@
 	}
 }
 
-// Runs that were handed over during a take-over outlive the time after which runs of a
+// Runs that were handed over during an adoption outlive the time after which runs of a
 // lost owner count as over, so no task of theirs may start again while their gate is in
 // contact.
 func TestSlowTakeOverWaitsForRunsHandedOver(t *testing.T) {
--- a/owner/besteffort.go
+++ b/owner/besteffort.go
@@ -8,7 +8,7 @@
 
 // BestEffortResult is the final answer to the caller of a best-effort job.
 type BestEffortResult struct {
-	// State is completed or failed; empty if the job was given up.
+	// State is completed or failed; empty if the job was dropped.
 	State job.State
 	// Refused is set if no task of the job has run or will run.
 	Refused bool
@@ -75,7 +75,7 @@
 	}
 }
 
-// unfinishedResult returns the answer for a job that is given up.
+// unfinishedResult returns the answer for a job that is dropped.
 func (j *liveJob) unfinishedResult() BestEffortResult {
 	return BestEffortResult{Refused: !j.placed}
 }
--- a/owner/busy.go
+++ b/owner/busy.go
@@ -33,7 +33,7 @@
 // be over.
 func (t *task) hasOpenRun() bool { return t.phase == taskPlaced || t.phase == taskRunning }
 
-// updateBusy determines which gates have runs. During a take-over any gate may have
+// updateBusy determines which gates have runs. During an adoption any gate may have
 // some.
 func (o *Owner) updateBusy(now Time) {
 	if now-o.busyUpdated < busyInterval {
@@ -63,14 +63,14 @@
 // busyInterval is the minimum time between two updates of the busy flags.
 const busyInterval = 100 * time.Millisecond
 
-// Adopting reports whether runs of jobs that are being taken over may be at any gate.
+// Adopting reports whether runs of jobs being adopted may be at any gate.
 func (o *Owner) Adopting() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.adoptsJobs()
 }
 
-// adoptsJobs reports whether jobs that are being taken over wait for reports of gates.
+// adoptsJobs reports whether jobs being adopted wait for reports of gates.
 func (o *Owner) adoptsJobs() bool {
 	return slices.ContainsFunc(o.adoptions, func(a *adoption) bool { return len(a.jobs) > 0 })
 }
--- a/owner/busy_test.go
+++ b/owner/busy_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// Any gate may have runs of the jobs while a take-over is in progress.
+// Any gate may have runs of the jobs while an adoption is in progress.
 func TestBusyWhileTakingOver(t *testing.T) {
 	b := newHarness(t)
 	b.connect("gate-1")
@@ -59,7 +59,7 @@
 	b.now += busyInterval
 	b.owner.Tick()
 	if b.owner.Busy("gate-1") || b.owner.Adopting() {
-		t.Error("busy after a take-over without jobs")
+		t.Error("busy after an adoption without jobs")
 	}
 }
 
--- a/owner/drop.go
+++ b/owner/drop.go
@@ -11,7 +11,7 @@
 // report whether its runs have started.
 const withdrawTimeout = 60 * time.Millisecond
 
-// droppedJob is a best-effort job that was given up.
+// droppedJob is a best-effort job that was dropped before it ended.
 type droppedJob struct {
 	at Time
 	// unconfirmed are runs that were sent to gates and may or may not have started.
@@ -20,9 +20,9 @@
 	callers []caller
 }
 
-// drop gives up a best-effort job: it ends without a result, and its runs are
-// withdrawn. If none of them is known to have started, the answer waits for the reports
-// of the gates, to tell a job that has not run from one that may have.
+// drop ends a best-effort job without a result and withdraws its runs. If none of them
+// is known to have started, the answer waits for the reports of the gates, to tell a
+// job that has not run from one that may have.
 func (o *Owner) drop(j *liveJob) {
 	now := o.options.Now()
 	delete(o.jobs, j.record.ID)
--- a/owner/drop_test.go
+++ b/owner/drop_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// A job whose runs were all returned by gates counts as not placed and is refused as
+// A job whose runs were all rejected by gates counts as not placed and is refused as
 // early as other such jobs.
 func TestGivenBackJobHasNotBegun(t *testing.T) {
 	b := newHarness(t)
@@ -129,18 +129,18 @@
 	full := testReport()
 	full.Free = job.Resources{}
 	full.Queued = job.Resources{CPU: full.Capacity.CPU}
-	returnRun := func(i int) {
+	reject := func(i int) {
 		back := gate.RunState{Name: f.Starts[i].Name, End: gate.EndRejected, Reason: gate.ReasonFull}
 		b.owner.OnFrame("gate-1", link, gate.Frame{Clock: b.now, Received: f.Sequence, Report: full, States: []gate.RunState{back}})
 	}
 	j := b.owner.jobs["00000000000000aa"]
-	returnRun(0)
+	reject(0)
 	if !j.placed {
 		t.Fatal("counts as not placed while a run is at a gate")
 	}
-	returnRun(1)
+	reject(1)
 	if j.placed {
-		t.Fatal("counts as placed though both runs were returned")
+		t.Fatal("counts as placed though both runs were rejected")
 	}
 	b.now = j.refuseAt() + time.Millisecond
 	b.owner.Tick()
@@ -150,7 +150,7 @@
 }
 
 // Only tasks of the highest priority are sent to a gate whose queue is full; the gate
-// returns tasks that rank behind them.
+// rejects runs that rank lower.
 func TestFirstPriorityPassesFullQueue(t *testing.T) {
 	for priority, want := range map[int]int{0: 1, 1: 0} {
 		b := newHarness(t)
@@ -193,7 +193,7 @@
 	}
 }
 
-// A task that a full gate has returned must not be sent to a full gate again with each
+// A task that a full gate has rejected must not be sent to a full gate again with each
 // frame, only after a growing pause.
 func TestTaskGivenBackByFullGateWaits(t *testing.T) {
 	b := newHarness(t)
@@ -208,7 +208,7 @@
 		f := gate.Frame{Clock: b.now, Received: 1000, Report: r}
 		for _, order := range b.flush("gate-1", link).Starts {
 			if b.now-last < pause {
-				t.Fatalf("sent again %v after return %d, want at least %v", b.now-last, orders, pause)
+				t.Fatalf("sent again %v after rejection %d, want at least %v", b.now-last, orders, pause)
 			}
 			orders++
 			pause = min(max(2*pause, minFullPause), maxFullPause)
--- a/owner/echo.go
+++ b/owner/echo.go
@@ -16,9 +16,9 @@
 	return v.clock + sinceHeard(o.options.Now(), v.heard)
 }
 
-// sinceHeard returns how much the echo is later than a gate's newest frame. The gate
-// uses the echo to decide how long runs may go on. It is bounded, since a gate whose
-// frames don't reach its owner must not count as being in contact for long.
+// sinceHeard returns how far the echo is ahead of the time in a gate's newest frame.
+// The gate uses the echo to decide how long runs may go on. It is bounded, since a gate
+// whose frames don't reach its owner must not count as being in contact for long.
 func sinceHeard(now, heard Time) time.Duration {
 	age := time.Duration(float64(now-heard) * minClockRate)
 	return min(age, maxSinceHeard)
--- a/owner/ends.go
+++ b/owner/ends.go
@@ -226,8 +226,8 @@
 	t.avoid[name] = true
 }
 
-// avoidRejected keeps a task away from a gate whose target refused it, or for a time
-// from full queues after a gate has returned it.
+// avoidRejected keeps a task away from a gate whose target can never hold it, or for a
+// time from full queues after a gate has rejected it.
 func (t *task) avoidRejected(now Time, v *gateView, s gate.RunState) {
 	switch s.Reason {
 	case reasonTooLarge:
@@ -238,7 +238,7 @@
 	}
 }
 
-// minFullPause and maxFullPause bound how long a task that a full gate has returned is
+// minFullPause and maxFullPause bound how long a task that a full gate has rejected is
 // sent to no full gate. The pause doubles each time.
 const (
 	minFullPause = 4 * time.Millisecond
--- a/owner/live.go
+++ b/owner/live.go
@@ -46,8 +46,7 @@
 	// position is the index in the queue of waiting tasks, -1 if the task is not in it.
 	position int
 	order    uint64
-	// newest is the highest run number that gates reported while the job was taken
-	// over.
+	// newest is the highest run number that gates reported while the job was adopted.
 	newest int
 }
 
@@ -57,7 +56,7 @@
 	// jobInserting: the row is not known to be stored yet.
 	jobInserting jobPhase = iota
 	jobLive
-	// jobAdopting: the job is being taken over; gates are asked for its runs.
+	// jobAdopting: the job is being adopted; gates are asked for its runs.
 	jobAdopting
 	// jobEnding: the final write is in progress.
 	jobEnding
@@ -111,7 +110,7 @@
 	// final is the state in which the job is to end.
 	final   job.State
 	waiters []chan struct{}
-	// reported are the runs that gates have reported while the job is being taken over.
+	// reported are the runs that gates have reported while the job is being adopted.
 	reported []reportedRun
 	// slowGates are the gates on which runs of the job were behind.
 	slowGates []string
--- a/owner/log.go
+++ b/owner/log.go
@@ -25,7 +25,7 @@
 		"capacityCPU", capacity, "freeCPU", room, "needCPU", j.need(), "waitingTasks", o.waiting.len(), "slackMS", (j.startBy - now).Milliseconds())
 }
 
-// logDropped logs that a job was given up.
+// logDropped logs that a job was dropped.
 func (o *Owner) logDropped(now Time, j *liveJob) {
 	if !j.placed {
 		return
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -2,8 +2,8 @@
 // processes the results.
 //
 // Each job has one owner at a time: one incarnation of an entry process. Incarnations
-// are fenced in the store. Once its fence row is gone an incarnation can't write any
-// more, and gates obey the incarnation that has taken over its jobs.
+// are fenced in the store. Once its fence row is gone, an incarnation can't write any
+// more, and gates accept orders only from the incarnation that has adopted its jobs.
 //
 // Owner is a state machine under one lock. Events come in with their time, writes go to
 // a Writer, and the links to the gates fetch their frames.
@@ -21,7 +21,7 @@
 	"rackspur/rowstore"
 )
 
-// Time is the time on the owner's monotonic clock since the process started.
+// Time is a time on the owner's monotonic clock.
 type Time = time.Duration
 
 // Tables in the store.
@@ -87,7 +87,7 @@
 	mu    sync.Mutex
 	jobs  map[job.ID]*liveJob
 	ended map[job.ID]*endedJob
-	// dropped holds best-effort jobs that were given up before they ended.
+	// dropped holds best-effort jobs that were dropped before they ended.
 	dropped map[job.ID]*droppedJob
 	gates   map[string]*gateView
 	// activeGates are the gates that are linked, or were linked and may still have
@@ -106,8 +106,8 @@
 	// leaseUntil is when the owner's lease expires.
 	leaseUntil Time
 	stopped    bool
-	// adopted are the incarnations taken over so far, adoptions the take-overs in
-	// progress.
+	// adopted are the incarnations whose jobs were adopted so far, adoptions the
+	// adoptions in progress.
 	adopted   []string
 	adoptions []*adoption
 	// foreign holds ends of runs of jobs that this owner does not know.
@@ -117,7 +117,7 @@
 	stats        Stats
 	// busyUpdated is when the busy flags of the gates were last updated.
 	busyUpdated Time
-	// pendingReads is the number of take-overs whose jobs are still being read.
+	// pendingReads is the number of adoptions whose jobs are still being read.
 	pendingReads int
 	lastSweep    Time
 	// unanswered is the number of dropped jobs whose callers were still waiting at the
@@ -157,7 +157,7 @@
 	}
 }
 
-// Renewed extends the owner's lease.
+// Renewed records that the owner's lease is valid until the given time.
 func (o *Owner) Renewed(until Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/owner/place.go
+++ b/owner/place.go
@@ -13,7 +13,8 @@
 	// slowFactor is how many times slower than the median a target must be to be chosen
 	// last.
 	slowFactor = 2.0
-	// lateRankPenalty ranks the runs of late jobs behind all others at a gate.
+	// lateRankPenalty is added to the rank of runs of late jobs, which puts them behind
+	// all others at a gate.
 	lateRankPenalty = time.Minute
 )
 
@@ -109,7 +110,7 @@
 
 // queueShare returns the share of a gate's capacity, in thousandths, that may be queued
 // there for the gate to accept a task. Tasks of the highest priority are also sent to
-// gates with a full queue, which then return tasks of lower priority.
+// gates with a full queue, which then reject runs that rank lower.
 func queueShare(now Time, t *task) int {
 	if t.job.record.Queue.Priority == 0 && now >= t.fullUntil {
 		return 2 * gate.QueueShare
--- a/owner/restart_test.go
+++ b/owner/restart_test.go
@@ -71,12 +71,12 @@
 }
 
 // stopped advances the time and returns after how long the gate stops the run.
-func (r *restartedGate) stopped(most time.Duration, inTouch bool) (after time.Duration, ok bool) {
+func (r *restartedGate) stopped(most time.Duration, inContact bool) (after time.Duration, ok bool) {
 	began := r.now
 	for r.now-began < most {
 		stops := len(r.hold().Stops)
 		r.now += 49 * time.Millisecond
-		if inTouch {
+		if inContact {
 			r.exchange()
 		}
 		if stops+len(r.gate.Tick(r.now).Stops) > 0 {
--- a/owner/stall.go
+++ b/owner/stall.go
@@ -8,9 +8,8 @@
 // stallAfter is how long a task may stay in a phase before it is logged as stalled.
 const stallAfter = 4 * time.Second
 
-// logStalled logs, once per job, durable jobs with a task that has neither run nor
-// ended for stallAfter. Best-effort jobs are left out: gates report only the ends of
-// their runs.
+// logStalled logs each durable job, once, if one of its tasks has neither run nor ended
+// for stallAfter. For best-effort jobs gates report only the ends of runs.
 func (o *Owner) logStalled(now Time) {
 	for _, j := range o.jobs {
 		if j.stallLogged || j.record.BestEffort || j.phase == jobInserting || now-j.arrived < stallAfter {
--- a/owner/submit.go
+++ b/owner/submit.go
@@ -90,7 +90,7 @@
 	defer o.mu.Unlock()
 	now := o.options.Now()
 	if o.jobs[j.record.ID] != j {
-		// The job existed already and was taken over meanwhile.
+		// The job existed already and was adopted meanwhile.
 		j.answerSubmitters(SubmitAccepted)
 		return
 	}
@@ -142,7 +142,7 @@
 }
 
 // makeReady queues the tasks of a job that may start. It does nothing while the job is
-// being taken over, since any task may turn out to be running.
+// being adopted, since any task may turn out to be running.
 func (o *Owner) makeReady(now Time, j *liveJob) {
 	if j.phase == jobAdopting {
 		return
--- a/owner/waiting.go
+++ b/owner/waiting.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// dropExpired drops each best-effort job whose last caller is about to leave, and those
-// that are very late and still have waiting tasks.
+// dropExpired drops each best-effort job whose deadline has passed, and each very late
+// one that still has waiting tasks.
 func (o *Owner) dropExpired(now Time) {
 	for _, j := range o.jobs {
 		if !j.record.BestEffort || j.phase != jobLive {
--- a/owner/write.go
+++ b/owner/write.go
@@ -67,8 +67,8 @@
 	j.notifyWaiters()
 }
 
-// finish ends a job in a state, which counts once it is durable. No task of the job
-// starts from now on.
+// finish ends a job in the given state. No more tasks of it start, and the end takes
+// effect once it is durable.
 func (o *Owner) finish(now Time, j *liveJob, state job.State) {
 	if j.final != "" {
 		return
