--- a/owner/log.go
+++ b/owner/log.go
@@ -17,7 +17,7 @@
 	return gates
 }
 
-// logRefused logs that a job was refused, with the figures behind the decision.
+// logRefused counts and logs a refused job, with the figures behind the decision.
 func (o *Owner) logRefused(now Time, j *liveJob, why string) {
 	o.stats.Refused++
 	capacity, room := o.roomFor(j)
--- a/owner/stall.go
+++ b/owner/stall.go
@@ -8,7 +8,7 @@
 // stallAfter is how long a task may stay in a phase before it is logged as stalled.
 const stallAfter = 4 * time.Second
 
-// logStalled logs each durable job, once, if one of its tasks has neither run nor ended
+// logStalled counts and logs each durable job, once, if a task has neither run nor ended
 // for stallAfter. For best-effort jobs gates report only the ends of runs.
 func (o *Owner) logStalled(now Time) {
 	for _, j := range o.jobs {
