--- a/internal/standin/executor.go
+++ b/internal/standin/executor.go
@@ -10,115 +10,114 @@
 	"rackspur/job"
 )
 
-// Executor is an executor in memory that works as the users' platform says: it
-// leases what runs, obeys the highest fencing token only, and lists ends until
-// they are noted. It keeps a journal of starts and ends for checkers.
+// Executor is an in-memory executor with the behaviour that the users' platform specifies:
+// runs are leased, only calls with the highest fencing token are accepted, and ends are
+// listed until they are acknowledged. It keeps a journal of starts and ends for checks.
 type Executor struct {
-	// Life is the executor's id. It may be started again under the same one.
+	// Life is the executor's id. A restarted executor may have the same one.
 	Life string
-	// Born is when it was started, in milliseconds of Unix time; it tells the lives under
-	// one id apart.
+	// Born is the start time in milliseconds of Unix time; it distinguishes incarnations
+	// with the same id.
 	Born int64
-	// Capacity is its room.
+	// Capacity is what the runs together may use.
 	Capacity job.Resources
 	// MaxHold is the longest lease.
 	MaxHold time.Duration
-	// Work returns how long a run takes and how it ends.
+	// Work returns a run's duration and how it ends.
 	Work func(job.RunName) (time.Duration, gate.EndKind)
-	// FirstClock is the time on its clock at its start, in milliseconds.
+	// FirstClock is the executor's clock at its start, in milliseconds.
 	FirstClock int64
-	// Slow is the part of a time that the executor's clock loses: 0 means a right
-	// clock, MostSlow the slowest that the users' platform allows.
+	// Slow is the fraction of time that the executor's clock loses, from 0 to MostSlow.
 	Slow float64
 
 	mu      sync.Mutex
 	started time.Time
-	// beats is how many heartbeats were made; draining is what they say.
-	beats    int64
-	draining bool
-	fence    uint64
-	until    int64
-	seen     int64
-	ends     []gate.Ended
-	running  map[job.RunName]*executorRun
-	highest  map[job.TaskName]int
-	changed  chan struct{}
-	journal  []Span
-	orders   []Order
-	down     bool
-	// lapsed is when the lease was last seen to be over.
-	lapsed time.Time
+	// heartbeats counts the heartbeats made; draining is the state they report.
+	heartbeats   int64
+	draining     bool
+	fence        uint64
+	leaseUntilMS int64
+	acked        int64
+	ends         []gate.Ended
+	running      map[job.RunName]*executorRun
+	highestRun   map[job.TaskName]int
+	changed      chan struct{}
+	journal      []Span
+	orders       []Order
+	down         bool
+	// lastLapse is the last time at which the lease was found expired.
+	lastLapse time.Time
 }
 
 type executorRun struct {
-	name    job.RunName
-	need    job.Resources
-	started time.Time
-	lasts   time.Duration
-	end     gate.EndKind
-	span    int
+	name         job.RunName
+	need         job.Resources
+	started      time.Time
+	duration     time.Duration
+	end          gate.EndKind
+	journalIndex int
 }
 
-// Span is a run as the executor saw it; End is zero while it runs.
+// Span is the executor's record of a run; End is zero while it runs.
 type Span struct {
 	Name job.RunName
-	// Life and Born are those of the executor.
+	// Life and Born identify the executor.
 	Life    string
 	Born    int64
 	Started time.Time
 	Ended   time.Time
 	End     gate.EndKind
-	// Number is the end's; Noted says that it was taken note of while the lease
-	// had held since the end.
+	// Number is the number of the end; Noted reports that the end was acknowledged and
+	// the lease had not expired in between.
 	Number int64
 	Noted  bool
 }
 
-// MostSlow is the most that an executor's clock may lose (the users' platform: 2%).
+// MostSlow is the largest clock drift that the users' platform allows.
 const MostSlow = 0.02
 
-// NewExecutor returns an executor that runs nothing.
+// NewExecutor returns an executor without runs.
 func NewExecutor(life string, capacity job.Resources, work func(job.RunName) (time.Duration, gate.EndKind)) *Executor {
 	started := time.Now()
 	return &Executor{
-		Life: life, Born: started.UnixMilli(), Capacity: capacity, MaxHold: time.Second, Work: work, FirstClock: firstClock, started: started,
-		running: map[job.RunName]*executorRun{}, highest: map[job.TaskName]int{}, changed: make(chan struct{}),
+		Life: life, Born: started.UnixMilli(), Capacity: capacity, MaxHold: time.Second, Work: work, FirstClock: defaultFirstClock, started: started,
+		running: map[job.RunName]*executorRun{}, highestRun: map[job.TaskName]int{}, changed: make(chan struct{}),
 	}
 }
 
-// SetDown makes the executor answer nothing, or answer again.
+// SetDown sets whether the executor is down, so that calls get no answer.
 func (e *Executor) SetDown(down bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.down = down
 }
 
-// Down says whether the executor answers nothing.
+// Down reports whether the executor is down.
 func (e *Executor) Down() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.down
 }
 
-// Again returns the executor's next life under the same id. It runs nothing and has
-// seen no fencing token, and its clock and its counts begin anew.
+// Again returns the executor's next incarnation under the same id. It has no runs and no
+// fencing token, and its clock and counters start over.
 func (e *Executor) Again() *Executor {
 	next := NewExecutor(e.Life, e.Capacity, e.Work)
 	next.MaxHold = e.MaxHold
 	next.Slow = e.Slow
-	// A life that begins within the same millisecond is still another one.
+	// Incarnations must differ even if they start within the same millisecond.
 	next.Born = max(next.Born, e.Born+1)
 	return next
 }
 
-// Clock returns the executor's own time in milliseconds.
+// Clock returns the executor's clock in milliseconds.
 func (e *Executor) Clock() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.clock(time.Now())
 }
 
-// Crash ends all that runs; the executor answers nothing any more.
+// Crash ends all runs and takes the executor down.
 func (e *Executor) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -130,7 +129,7 @@
 	e.down = true
 }
 
-// Journal returns all runs so far.
+// Journal returns the records of all runs.
 func (e *Executor) Journal() []Span {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -138,69 +137,69 @@
 	return append([]Span(nil), e.journal...)
 }
 
-// firstClock is the usual time on an executor's clock at its start, in milliseconds.
-const firstClock = 1000
+// defaultFirstClock is the default of Executor.FirstClock, in milliseconds.
+const defaultFirstClock = 1000
 
 func (e *Executor) clock(now time.Time) int64 {
 	return e.FirstClock + time.Duration(float64(now.Sub(e.started))*(1-e.Slow)).Milliseconds()
 }
 
-// advance ends what has run long enough, or everything once the lease is over,
-// at the moment when that came about: nobody may have called for some time.
+// advance ends the runs that were due by now, by their duration or the end of the lease,
+// and records the time at which each was due.
 func (e *Executor) advance(now time.Time) {
 	lapse := e.leaseEnd()
 	if now.After(lapse) {
-		e.lapsed = now
+		e.lastLapse = now
 	}
 	due := make([]*executorRun, 0, len(e.running))
 	for _, r := range e.running {
-		if r.endsBy(lapse).Before(now) {
+		if r.endTime(lapse).Before(now) {
 			due = append(due, r)
 		}
 	}
-	sort.Slice(due, func(i, j int) bool { return due[i].endsBy(lapse).Before(due[j].endsBy(lapse)) })
+	sort.Slice(due, func(i, j int) bool { return due[i].endTime(lapse).Before(due[j].endTime(lapse)) })
 	for _, r := range due {
-		how := r.end
-		if r.started.Add(r.lasts).After(lapse) {
-			how = gate.EndLapsed
+		kind := r.end
+		if r.started.Add(r.duration).After(lapse) {
+			kind = gate.EndLapsed
 		}
-		e.finish(r.endsBy(lapse), r, how)
+		e.finish(r.endTime(lapse), r, kind)
 	}
 }
 
-// leaseEnd returns when the lease is over.
+// leaseEnd returns the time at which the lease expires.
 func (e *Executor) leaseEnd() time.Time {
-	return e.at(e.until)
+	return e.timeAtClock(e.leaseUntilMS)
 }
 
-// at returns when the executor's clock shows a time.
-func (e *Executor) at(clockMS int64) time.Time {
+// timeAtClock returns the time at which the executor's clock shows clockMS.
+func (e *Executor) timeAtClock(clockMS int64) time.Time {
 	onClock := time.Duration(clockMS-e.FirstClock) * time.Millisecond
 	return e.started.Add(time.Duration(float64(onClock) / (1 - e.Slow)))
 }
 
-// endsBy returns when a run ends if the lease is over at a time.
-func (r *executorRun) endsBy(lapse time.Time) time.Time {
-	if end := r.started.Add(r.lasts); end.Before(lapse) {
+// endTime returns the time at which a run ends if the lease expires at lapse.
+func (r *executorRun) endTime(lapse time.Time) time.Time {
+	if end := r.started.Add(r.duration); end.Before(lapse) {
 		return end
 	}
 	return lapse
 }
 
-func (e *Executor) finish(now time.Time, r *executorRun, how gate.EndKind) {
+func (e *Executor) finish(now time.Time, r *executorRun, kind gate.EndKind) {
 	delete(e.running, r.name)
-	e.highest[r.name.TaskName] = max(e.highest[r.name.TaskName], r.name.Run)
-	number := e.seen + int64(len(e.ends)) + 1
-	e.ends = append(e.ends, gate.Ended{Number: number, Name: r.name, Kind: how})
-	e.journal[r.span].End = how
-	e.journal[r.span].Ended = now
-	e.journal[r.span].Number = number
+	e.highestRun[r.name.TaskName] = max(e.highestRun[r.name.TaskName], r.name.Run)
+	number := e.acked + int64(len(e.ends)) + 1
+	e.ends = append(e.ends, gate.Ended{Number: number, Name: r.name, Kind: kind})
+	e.journal[r.journalIndex].End = kind
+	e.journal[r.journalIndex].Ended = now
+	e.journal[r.journalIndex].Number = number
 	close(e.changed)
 	e.changed = make(chan struct{})
 }
 
-// check takes in the fencing token; the lock is held.
-func (e *Executor) check(id string, fence uint64) error {
+// checkCall checks a call's id and fencing token and stores the token. The lock must be held.
+func (e *Executor) checkCall(id string, fence uint64) error {
 	if e.down {
 		return gate.ErrUnanswered
 	}
@@ -214,8 +213,8 @@
 	return nil
 }
 
-func (e *Executor) extend(now time.Time, until int64) {
-	e.until = max(e.until, min(until, e.clock(now)+e.MaxHold.Milliseconds()))
+func (e *Executor) extendLease(now time.Time, until int64) {
+	e.leaseUntilMS = max(e.leaseUntilMS, min(until, e.clock(now)+e.MaxHold.Milliseconds()))
 }
 
 // Start implements gate.Executor.Start.
@@ -226,23 +225,23 @@
 	e.advance(now)
 	defer func() { e.record(now, Order{Kind: OrderStart, Name: c.Name, Err: err}, c.UntilMS) }()
 	a = gate.Answer{ClockMS: e.clock(now), Life: gate.Life{ID: e.Life}}
-	if err := e.check(life.ID, c.Fence); err != nil {
+	if err := e.checkCall(life.ID, c.Fence); err != nil {
 		return a, err
 	}
-	e.extend(now, c.UntilMS)
+	e.extendLease(now, c.UntilMS)
 	switch {
 	case e.clock(now) > c.UntilMS:
 		return a, gate.ErrLate
 	case e.running[c.Name] != nil:
 		return a, nil
-	case c.Name.Run <= e.highest[c.Name.TaskName]:
+	case c.Name.Run <= e.highestRun[c.Name.TaskName]:
 		return a, gate.ErrOldRun
 	case !e.free().Fits(c.Need):
 		return a, gate.ErrNoRoom
 	}
-	lasts, how := e.Work(c.Name)
+	duration, end := e.Work(c.Name)
 	e.journal = append(e.journal, Span{Name: c.Name, Life: e.Life, Born: e.Born, Started: now})
-	e.running[c.Name] = &executorRun{name: c.Name, need: c.Need, started: now, lasts: lasts, end: how, span: len(e.journal) - 1}
+	e.running[c.Name] = &executorRun{name: c.Name, need: c.Need, started: now, duration: duration, end: end, journalIndex: len(e.journal) - 1}
 	return a, nil
 }
 
@@ -262,10 +261,10 @@
 	e.advance(now)
 	defer func() { e.record(now, Order{Kind: OrderStop, Name: c.Name, Err: err}, 0) }()
 	a = gate.Answer{ClockMS: e.clock(now), Life: gate.Life{ID: e.Life}}
-	if err := e.check(life.ID, c.Fence); err != nil {
+	if err := e.checkCall(life.ID, c.Fence); err != nil {
 		return a, err
 	}
-	e.highest[c.Name.TaskName] = max(e.highest[c.Name.TaskName], c.Name.Run)
+	e.highestRun[c.Name.TaskName] = max(e.highestRun[c.Name.TaskName], c.Name.Run)
 	for _, r := range e.running {
 		if r.name.TaskName == c.Name.TaskName && r.name.Run <= c.Name.Run {
 			e.finish(now, r, gate.EndStopped)
@@ -279,10 +278,10 @@
 	e.mu.Lock()
 	now := time.Now()
 	e.advance(now)
-	err := e.check(life.ID, c.Fence)
+	err := e.checkCall(life.ID, c.Fence)
 	if err == nil {
-		e.extend(now, c.UntilMS)
-		e.forget(c.Seen)
+		e.extendLease(now, c.UntilMS)
+		e.acknowledge(c.Seen)
 	}
 	e.record(now, Order{Kind: OrderHold, Seen: c.Seen, Err: err}, c.UntilMS)
 	a := gate.Answer{ClockMS: e.clock(now), Life: gate.Life{ID: e.Life}}
@@ -290,7 +289,7 @@
 	if err != nil {
 		return a, gate.HoldAnswer{}, err
 	}
-	e.await(ctx, time.Duration(c.WaitMS)*time.Millisecond)
+	e.awaitEnd(ctx, time.Duration(c.WaitMS)*time.Millisecond)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.down {
@@ -299,19 +298,19 @@
 	return gate.Answer{ClockMS: e.clock(time.Now()), Life: gate.Life{ID: e.Life, Born: e.Born}}, e.lists(), nil
 }
 
-// forget drops the ends that are noted.
-func (e *Executor) forget(seen int64) {
+// acknowledge drops the ends up to number seen.
+func (e *Executor) acknowledge(seen int64) {
 	for len(e.ends) > 0 && e.ends[0].Number <= seen {
-		e.note(e.ends[0].Number)
+		e.markNoted(e.ends[0].Number)
 		e.ends = e.ends[1:]
-		e.seen++
+		e.acked++
 	}
 }
 
-func (e *Executor) note(number int64) {
+func (e *Executor) markNoted(number int64) {
 	for i := range e.journal {
 		s := &e.journal[i]
-		if s.Number == number && s.End != 0 && !s.Ended.Before(e.lapsed) {
+		if s.Number == number && s.End != 0 && !s.Ended.Before(e.lastLapse) {
 			s.Noted = true
 		}
 	}
@@ -326,13 +325,13 @@
 	return a
 }
 
-// percent is the part of its work that a run has done.
+// percent returns the progress of a run.
 func (r *executorRun) percent(now time.Time) int {
-	return min(99, int(100*now.Sub(r.started)/max(r.lasts, 1)))
+	return min(99, int(100*now.Sub(r.started)/max(r.duration, 1)))
 }
 
-// await waits until an end is listed.
-func (e *Executor) await(ctx context.Context, d time.Duration) {
+// awaitEnd waits until an end is listed, at most for d.
+func (e *Executor) awaitEnd(ctx context.Context, d time.Duration) {
 	deadline := time.Now().Add(d)
 	for {
 		e.mu.Lock()
@@ -358,11 +357,11 @@
 	}
 }
 
-// nextEnd returns the time until the next run ends.
+// nextEnd returns the time until the next run ends, at most a second.
 func (e *Executor) nextEnd() time.Duration {
 	next := time.Second
 	for _, r := range e.running {
-		next = min(next, max(time.Millisecond, r.lasts-time.Since(r.started)))
+		next = min(next, max(time.Millisecond, r.duration-time.Since(r.started)))
 	}
 	return next
 }
--- a/internal/standin/executor_test.go
+++ b/internal/standin/executor_test.go
@@ -10,13 +10,8 @@
 	"rackspur/job"
 )
 
-// Symptom: a check of the journal took a run for one that works on and on, and its gate
-// took it for lost.
-//
-// Sequence: a run of a task starts at an executor where a lower one of that task works.
-//
-// Cause: the executor kept one run for each task. PROTOCOL.md has no such rule: a start
-// is turned away for its fencing token, an earlier stop or end, its lease, or for room.
+// Guards against an executor that keeps only one run of each task: PROTOCOL.md lets a start
+// succeed while a lower run of the same task is running.
 func TestSecondRunHidesNone(t *testing.T) {
 	e := NewExecutor("i-1", job.Resources{CPU: 2000}, func(job.RunName) (time.Duration, gate.EndKind) { return time.Hour, gate.EndDone })
 	ctx := context.Background()
@@ -42,7 +37,7 @@
 	}
 }
 
-// longWork is work that outlives every lease.
+// longWork returns a duration longer than any lease in these tests.
 func longWork(job.RunName) (time.Duration, gate.EndKind) { return 8 * time.Second, gate.EndDone }
 
 // startLong starts a run with a lease of a second and returns its name.
@@ -55,7 +50,7 @@
 	return name
 }
 
-// onlySpan returns the one run of the journal.
+// onlySpan returns the only record in the journal.
 func onlySpan(t *testing.T, e *Executor) Span {
 	t.Helper()
 	j := e.Journal()
@@ -65,13 +60,13 @@
 	return j[0]
 }
 
-// TestSpanEnds looks at the journal long after a run has ended: it must hold the moment
-// at which the run ended at the executor.
+// TestSpanEnds checks that the journal holds the time at which a run ended, even if it is
+// read much later.
 func TestSpanEnds(t *testing.T) {
 	cases := []struct {
 		name string
 		slow float64
-		// do is what happens 400 ms after the start.
+		// do is called 400 ms after the start.
 		do   func(*testing.T, *Executor, job.RunName)
 		ends time.Duration
 		end  gate.EndKind
@@ -113,8 +108,8 @@
 	}
 }
 
-// TestLateStart carries a start out when its lease is over, after a stop and on another
-// life: each must be turned away.
+// TestLateStart checks that a start is refused after the end of its lease, on another
+// executor, with a lower fencing token and after a stop.
 func TestLateStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := NewExecutor("i-1", job.Resources{CPU: 1}, longWork)
@@ -125,7 +120,7 @@
 			t.Errorf("after its lease: %v", err)
 		}
 		if _, err := e.Start(context.Background(), gate.Life{ID: "i-0"}, late); err != gate.ErrOtherLife {
-			t.Errorf("on another life: %v", err)
+			t.Errorf("on another executor: %v", err)
 		}
 		if _, err := e.Stop(context.Background(), gate.Life{ID: "i-1"}, gate.StopCall{Name: name, Fence: 2}); err != nil {
 			t.Fatal(err)
@@ -144,8 +139,8 @@
 	})
 }
 
-// TestTwoRunsOfATask starts a lower run beside a higher one, which nobody has stopped:
-// the platform does not say that it is turned away. Both must have their own ends.
+// TestTwoRunsOfATask starts a lower run beside a higher one that is still running. The start
+// is accepted, and each run must have its own end.
 func TestTwoRunsOfATask(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := NewExecutor("i-1", job.Resources{CPU: 1}, longWork)
--- a/internal/standin/executorwire.go
+++ b/internal/standin/executorwire.go
@@ -16,54 +16,54 @@
 	"rackspur/job"
 )
 
-// Headers of an executor's interface.
+// Header names of the executor's interface.
 const (
-	headerIntended = "Rackspur-Target-Instance"
-	headerAnswered = "Rackspur-Instance-Id"
+	headerTargetInstance = "Rackspur-Target-Instance"
+	headerInstanceID     = "Rackspur-Instance-Id"
 )
 
-// ExecutorPort serves the newest life of an executor over the interface of the
-// users' platform, and sends its heartbeats.
+// ExecutorPort serves the current incarnation of an executor over the HTTP interface of the
+// users' platform and sends its heartbeats.
 type ExecutorPort struct {
-	// Need is what each run takes: the interface does not say it.
-	Need    job.Resources
-	Service string
-	current atomic.Pointer[Executor]
-	losing  atomic.Pointer[LoseOrders]
+	// Need is what each run uses: start calls do not carry it.
+	Need       job.Resources
+	Service    string
+	current    atomic.Pointer[Executor]
+	loseOrders atomic.Pointer[LoseOrders]
 }
 
-// Loss is what becomes of a call that gets no answer.
+// Loss is the fault that is applied to a call; the zero value is none.
 type Loss struct {
-	// Unanswered: the caller hears nothing; the zero value passes the call.
+	// Unanswered calls get no answer.
 	Unanswered bool
-	// Late is how much later the call is carried out; 0 means never.
+	// Late is the delay after which an unanswered call is carried out; 0 means never.
 	Late time.Duration
 }
 
-// LoseOrders says for each call to an executor what becomes of it.
+// LoseOrders returns the fault for a call of the given kind.
 type LoseOrders func(kind string) Loss
 
-// SetLoseOrders has calls lost or carried out late from now on; nil ends that.
+// SetLoseOrders sets the faults of calls from now on; nil means none.
 func (p *ExecutorPort) SetLoseOrders(lose LoseOrders) {
 	if lose == nil {
-		p.losing.Store(nil)
+		p.loseOrders.Store(nil)
 		return
 	}
-	p.losing.Store(&lose)
+	p.loseOrders.Store(&lose)
 }
 
-// loss returns what becomes of a call.
+// loss returns the fault for a call.
 func (p *ExecutorPort) loss(kind string) Loss {
-	if lose := p.losing.Load(); lose != nil {
+	if lose := p.loseOrders.Load(); lose != nil {
 		return (*lose)(kind)
 	}
 	return Loss{}
 }
 
-// SetExecutor makes another life the newest.
+// SetExecutor replaces the current incarnation.
 func (p *ExecutorPort) SetExecutor(e *Executor) { p.current.Store(e) }
 
-// Executor returns the newest life.
+// Executor returns the current incarnation.
 func (p *ExecutorPort) Executor() *Executor { return p.current.Load() }
 
 // orderOnWire is the body of a call to an executor.
@@ -78,10 +78,10 @@
 	WaitMS     int    `json:"waitMs"`
 }
 
-// listsOnWire is the answer of an executor.
+// listsOnWire is the body of an executor's response.
 type listsOnWire struct {
 	ClockMS int64 `json:"clockMs"`
-	// Born is given with lists only.
+	// Born is set only in responses with lists.
 	Born     int64   `json:"born,omitempty"`
 	Reason   string  `json:"reason,omitempty"`
 	Running  [][]any `json:"running,omitempty"`
@@ -110,33 +110,33 @@
 func (p *ExecutorPort) serve(kind string, do executorCall) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		var o orderOnWire
-		if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxWireBody)).Decode(&o); err != nil {
+		if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxRequestBytes)).Decode(&o); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 		name := job.RunName{Run: o.Run}
 		if o.Task != "" {
-			task, err := taskOnWire(o.Task)
+			task, err := parseTask(o.Task)
 			if err != nil {
 				http.Error(w, err.Error(), http.StatusBadRequest)
 				return
 			}
 			name.TaskName = task
 		}
-		life := gate.Life{ID: req.Header.Get(headerIntended)}
+		life := gate.Life{ID: req.Header.Get(headerTargetInstance)}
 		if loss := p.loss(kind); loss.Unanswered {
-			// What is carried out late is judged by the life and the lease of then.
-			carryOutLate(loss.Late, func() { _, _, _ = do(context.Background(), p.Executor(), life, o, name) })
+			// A late call is executed by the incarnation that is current at that time.
+			runAfter(loss.Late, func() { _, _, _ = do(context.Background(), p.Executor(), life, o, name) })
 			<-req.Context().Done()
-			breakOff()
+			abortConnection()
 		}
 		e := p.Executor()
 		a, lists, err := do(req.Context(), e, life, o, name)
 		if errors.Is(err, gate.ErrUnanswered) {
-			breakOff()
+			abortConnection()
 		}
 		if errors.Is(err, gate.ErrOtherLife) {
-			w.Header().Set(headerAnswered, a.Life.ID)
+			w.Header().Set(headerInstanceID, a.Life.ID)
 		}
 		status, reason := statusOnWire(err)
 		answer := listsOnWire{ClockMS: a.ClockMS, Reason: reason, Running: runningOnWire(lists.Running), Finished: finishedOnWire(lists.Finished)}
@@ -147,15 +147,15 @@
 	}
 }
 
-// carryOutLate does something after a time; 0 means never.
-func carryOutLate(after time.Duration, do func()) {
+// runAfter calls do after a delay; 0 means never.
+func runAfter(after time.Duration, do func()) {
 	if after > 0 {
 		time.AfterFunc(after, do)
 	}
 }
 
-// taskOnWire reads a task's name, ID.TIME.STEP.INDEX.
-func taskOnWire(text string) (job.TaskName, error) {
+// parseTask parses a task's name, JOB.TIME.STEP.INDEX.
+func parseTask(text string) (job.TaskName, error) {
 	parts := strings.Split(text, ".")
 	if len(parts) != 4 {
 		return job.TaskName{}, fmt.Errorf("task %q: want four parts", text)
@@ -171,7 +171,7 @@
 	return job.TaskName{Job: job.ID(parts[0]), Time: numbers[0], Step: numbers[1], Index: numbers[2]}, nil
 }
 
-func nameOnWire(n job.TaskName) string {
+func formatTask(n job.TaskName) string {
 	return fmt.Sprintf("%s.%d.%d.%d", n.Job, n.Time, n.Step, n.Index)
 }
 
@@ -196,13 +196,13 @@
 func runningOnWire(runs []gate.Running) [][]any {
 	var rows [][]any
 	for _, r := range runs {
-		rows = append(rows, []any{nameOnWire(r.Name.TaskName), r.Name.Run, r.Checkpoint, r.Percent})
+		rows = append(rows, []any{formatTask(r.Name.TaskName), r.Name.Run, r.Checkpoint, r.Percent})
 	}
 	return rows
 }
 
-// endsOnWire are the kinds of ends that an executor lists.
-var endsOnWire = map[gate.EndKind]string{
+// endKinds holds the wire names of kinds of ends.
+var endKinds = map[gate.EndKind]string{
 	gate.EndDone: "done", gate.EndFailed: "failed", gate.EndStopped: "stopped",
 	gate.EndLapsed: "lapsed", gate.EndBroken: "broken", gate.EndAlone: "alone",
 }
@@ -210,12 +210,12 @@
 func finishedOnWire(ends []gate.Ended) [][]any {
 	var rows [][]any
 	for _, e := range ends {
-		rows = append(rows, []any{e.Number, nameOnWire(e.Name.TaskName), e.Name.Run, endsOnWire[e.Kind], e.Checkpoint})
+		rows = append(rows, []any{e.Number, formatTask(e.Name.TaskName), e.Name.Run, endKinds[e.Kind], e.Checkpoint})
 	}
 	return rows
 }
 
-// heartbeatOnWire is what an executor says of itself.
+// heartbeatOnWire is the body of a heartbeat.
 type heartbeatOnWire struct {
 	Service  string         `json:"service"`
 	State    string         `json:"state"`
@@ -232,14 +232,14 @@
 	GPU    int `json:"gpu"`
 }
 
-// Beat sends heartbeats of the newest life to a control address until the
-// context ends.
+// Beat periodically sends heartbeats of the current incarnation to a control address until
+// the context ends.
 func (p *ExecutorPort) Beat(ctx context.Context, control string, every time.Duration) {
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		if b, ok := p.Executor().Beat(); ok {
-			// One that is lost is followed by the next.
+			// A failed heartbeat is not retried; the next one follows.
 			_ = p.SendBeat(ctx, control, b)
 		}
 		select {
@@ -249,17 +249,17 @@
 	}
 }
 
-// beatTimeout is how long an executor waits for the acknowledgement of a heartbeat.
-const beatTimeout = time.Second
+// heartbeatTimeout is how long an executor waits for the response to a heartbeat.
+const heartbeatTimeout = time.Second
 
-// errNotAcknowledged: a heartbeat was answered, but not with success.
+// errNotAcknowledged is returned for a heartbeat that got a status other than 200.
 var errNotAcknowledged = errors.New("standin: heartbeat not acknowledged")
 
-// SendBeat sends a heartbeat to a control address; nil says that it was acknowledged.
+// SendBeat sends a heartbeat to a control address. It returns nil if it was acknowledged.
 func (p *ExecutorPort) SendBeat(ctx context.Context, control string, b Beat) error {
-	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	body, err := json.Marshal(p.beatOnWire(b))
+	body, err := json.Marshal(p.heartbeatBody(b))
 	if err != nil {
 		return err
 	}
@@ -279,7 +279,7 @@
 	return nil
 }
 
-func (p *ExecutorPort) beatOnWire(b Beat) heartbeatOnWire {
+func (p *ExecutorPort) heartbeatBody(b Beat) heartbeatOnWire {
 	state := "ready"
 	if b.Draining {
 		state = "draining"
--- a/internal/standin/mute.go
+++ b/internal/standin/mute.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// MuteListener is a listener whose open connections can go silent for good, without
-// a reset, while new ones work.
+// MuteListener is a listener whose open connections can be made to drop all data without a
+// reset, while new connections work.
 type MuteListener struct {
 	net.Listener
 	mu    sync.Mutex
@@ -27,7 +27,7 @@
 	return m, nil
 }
 
-// MuteAll makes the open connections silent.
+// MuteAll mutes the connections that are open now.
 func (l *MuteListener) MuteAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -36,7 +36,7 @@
 	}
 }
 
-// muteConn loses what is written and what comes once it is muted.
+// muteConn drops all data in both directions once it is muted.
 type muteConn struct {
 	net.Conn
 	muted atomic.Bool
--- a/internal/standin/orderlog.go
+++ b/internal/standin/orderlog.go
@@ -7,28 +7,28 @@
 	"rackspur/job"
 )
 
-// Kinds of orders in an executor's log.
+// Kinds of orders.
 const (
 	OrderStart = "start"
 	OrderStop  = "stop"
 	OrderHold  = "hold"
 )
 
-// mostOrders is how many orders an executor keeps in its log: those of about ten
-// minutes with a hold each 150 ms.
-const mostOrders = 4000
+// maxOrders is how many orders are kept when the log is trimmed: about ten minutes with a
+// hold each 150 ms.
+const maxOrders = 4000
 
-// Order is a call that an executor has carried out or turned away.
+// Order is the record of a call that an executor has carried out or refused.
 type Order struct {
 	At   time.Time
 	Kind string
-	// Name is the run of a start or a stop.
+	// Name is the run that a start or a stop is for.
 	Name job.RunName
-	// Seen is the number of the newest noted end that a hold names.
+	// Seen is the number up to which a hold acknowledges ends.
 	Seen int64
-	// Until is the lease that the call asked for; zero if it asked for none.
+	// Until is the end of the lease that the call asked for; zero if it asked for none.
 	Until time.Time
-	// Lease is when the executor's lease was over, after the call.
+	// Lease is the end of the executor's lease after the call.
 	Lease time.Time
 	Err   error
 }
@@ -40,7 +40,7 @@
 		text += fmt.Sprintf(", asked for %+d ms", o.Until.Sub(o.At).Milliseconds())
 	}
 	if o.Seen != 0 {
-		text += fmt.Sprintf(", notes ends up to %d", o.Seen)
+		text += fmt.Sprintf(", acknowledges ends up to %d", o.Seen)
 	}
 	if o.Err != nil {
 		text += ": " + o.Err.Error()
@@ -48,22 +48,22 @@
 	return text
 }
 
-// Orders returns the newest orders in the order in which they were carried out.
+// Orders returns the most recent orders, oldest first.
 func (e *Executor) Orders() []Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Order(nil), e.orders...)
 }
 
-// record keeps an order that was carried out now; the lock is held.
+// record adds an order to the log. The lock must be held.
 func (e *Executor) record(now time.Time, o Order, untilMS int64) {
 	o.At = now
 	o.Lease = e.leaseEnd()
 	if untilMS != 0 {
-		o.Until = e.at(untilMS)
+		o.Until = e.timeAtClock(untilMS)
 	}
 	e.orders = append(e.orders, o)
-	if len(e.orders) >= 2*mostOrders {
-		e.orders = append([]Order(nil), e.orders[mostOrders:]...)
+	if len(e.orders) >= 2*maxOrders {
+		e.orders = append([]Order(nil), e.orders[maxOrders:]...)
 	}
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -9,53 +9,53 @@
 	"rackspur/store"
 )
 
-// Paths by which tests and trials steer the stand-ins.
+// Paths with which tests control the stand-ins.
 const (
 	PathFaults     = "/admin/faults"
 	PathAdminBoxes = "/admin/boxes"
 	PathCounts     = "/admin/counts"
 )
 
-// maxObject bounds the body of a write, in bytes.
-const maxObject = 64 << 20
+// maxObjectBytes limits the body of an object write.
+const maxObjectBytes = 64 << 20
 
-// PlatformHandler serves a store over the platform's HTTP interface.
+// PlatformHandler returns the platform's HTTP interface to a store.
 func PlatformHandler(s *Store) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+store.PathTable, func(w http.ResponseWriter, r *http.Request) {
 		rows, err := s.List(r.Context(), r.URL.Query().Get("prefix"))
-		answer(w, rows, err)
+		writeResponse(w, rows, err)
 	})
 	mux.HandleFunc("GET "+store.PathTable+"/{key}", func(w http.ResponseWriter, r *http.Request) {
 		row, err := s.Get(r.Context(), r.PathValue("key"))
-		answer(w, row, err)
+		writeResponse(w, row, err)
 	})
 	mux.HandleFunc("POST "+store.PathCommit, func(w http.ResponseWriter, r *http.Request) {
 		var c store.Commit
 		if !readJSON(w, r, &c) {
 			return
 		}
-		answer(w, struct{}{}, s.Commit(r.Context(), c))
+		writeResponse(w, struct{}{}, s.Commit(r.Context(), c))
 	})
 	mux.HandleFunc("GET "+store.PathObjects+"/{key}", func(w http.ResponseWriter, r *http.Request) {
 		value, err := s.GetObject(r.Context(), r.PathValue("key"))
 		if err != nil {
-			answer(w, nil, err)
+			writeResponse(w, nil, err)
 			return
 		}
 		_, _ = w.Write(value)
 	})
 	mux.HandleFunc("PUT "+store.PathObjects+"/{key}", func(w http.ResponseWriter, r *http.Request) {
-		value, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxObject))
+		value, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxObjectBytes))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		answer(w, struct{}{}, s.PutObject(r.Context(), r.PathValue("key"), value))
+		writeResponse(w, struct{}{}, s.PutObject(r.Context(), r.PathValue("key"), value))
 	})
 	mux.HandleFunc("GET "+store.PathBoxes, func(w http.ResponseWriter, r *http.Request) {
 		boxes, err := s.ListBoxes(r.Context())
-		answer(w, boxes, err)
+		writeResponse(w, boxes, err)
 	})
 	adminHandlers(mux, s)
 	return mux
@@ -78,7 +78,7 @@
 		s.RemoveBox(r.PathValue("name"))
 	})
 	mux.HandleFunc("GET "+PathCounts, func(w http.ResponseWriter, _ *http.Request) {
-		answer(w, s.Counts(), nil)
+		writeResponse(w, s.Counts(), nil)
 	})
 }
 
@@ -92,9 +92,9 @@
 	return true
 }
 
-// answer writes v, or the status that stands for an error. An answer that is
+// writeResponse writes v, or the status that stands for an error. An writeResponse that is
 // lost is a connection that ends without one.
-func answer(w http.ResponseWriter, v any, err error) {
+func writeResponse(w http.ResponseWriter, v any, err error) {
 	switch {
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
--- a/internal/standin/rowswire.go
+++ b/internal/standin/rowswire.go
@@ -10,11 +10,10 @@
 	"rackspur/rowstore"
 )
 
-// maxWireBody bounds the body of a call to a stand-in, in bytes.
-const maxWireBody = 4 << 20
+// maxRequestBytes limits the body of a call to a stand-in.
+const maxRequestBytes = 4 << 20
 
-// rowOnWire is a row, a condition, a put or a delete as the users' platform
-// spells it.
+// rowOnWire is a row, a condition, a put or a delete in the users' platform's JSON.
 type rowOnWire struct {
 	Table   string `json:"table"`
 	Part    string `json:"part"`
@@ -49,7 +48,7 @@
 	return t
 }
 
-// rowsAnswer is an answer about rows.
+// rowsAnswer is the body of a response.
 type rowsAnswer struct {
 	Rows    []rowOnWire `json:"rows,omitempty"`
 	More    bool        `json:"more"`
@@ -57,9 +56,8 @@
 	NowMS   int64       `json:"now_ms"`
 }
 
-// RowsHandler serves a store in memory over the interface of the users'
-// platform. Calls that the store turns away get 503; where it loses the call or
-// the answer the connection breaks.
+// RowsHandler returns the users' platform's HTTP interface to an in-memory store. Refused
+// calls get 503; if the store loses a call or its answer, the connection is aborted.
 func RowsHandler(m *rowstore.Memory) http.Handler {
 	h := &rowsHandler{store: m, started: time.Now()}
 	mux := http.NewServeMux()
@@ -76,16 +74,16 @@
 
 func (h *rowsHandler) transact(w http.ResponseWriter, req *http.Request) {
 	var in transactionOnWire
-	if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxWireBody)).Decode(&in); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxRequestBytes)).Decode(&in); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	out, err := h.store.Transact(req.Context(), in.transaction())
 	if errors.Is(err, rowstore.ErrConflict) {
-		h.answer(w, http.StatusPreconditionFailed, rowstore.Page{Rows: out.Current, Version: out.Version})
+		h.writePage(w, http.StatusPreconditionFailed, rowstore.Page{Rows: out.Current, Version: out.Version})
 		return
 	}
-	h.answerOrFail(w, rowstore.Page{Version: out.Version}, err)
+	h.writePageOrError(w, rowstore.Page{Version: out.Version}, err)
 }
 
 func (h *rowsHandler) read(w http.ResponseWriter, req *http.Request) {
@@ -94,7 +92,7 @@
 	page, err := h.store.Read(req.Context(), rowstore.Query{
 		Table: v.Get("table"), Part: v.Get("part"), From: v.Get("from"), Until: v.Get("targetVersion"), Limit: limit,
 	})
-	h.answerOrFail(w, page, err)
+	h.writePageOrError(w, page, err)
 }
 
 func (h *rowsHandler) changes(w http.ResponseWriter, req *http.Request) {
@@ -106,26 +104,26 @@
 		return
 	}
 	page, err := h.store.Changes(req.Context(), v.Get("table"), after, time.Duration(wait)*time.Millisecond)
-	h.answerOrFail(w, page, err)
+	h.writePageOrError(w, page, err)
 }
 
-func (h *rowsHandler) answerOrFail(w http.ResponseWriter, page rowstore.Page, err error) {
+func (h *rowsHandler) writePageOrError(w http.ResponseWriter, page rowstore.Page, err error) {
 	switch {
 	case err == nil:
-		h.answer(w, http.StatusOK, page)
+		h.writePage(w, http.StatusOK, page)
 	case errors.Is(err, rowstore.ErrHistoryGone):
 		w.WriteHeader(http.StatusGone)
 	case errors.Is(err, rowstore.ErrUncertain):
-		breakOff()
+		abortConnection()
 	default:
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// breakOff ends the connection without an answer.
-func breakOff() { panic(http.ErrAbortHandler) }
+// abortConnection closes the connection without a response.
+func abortConnection() { panic(http.ErrAbortHandler) }
 
-func (h *rowsHandler) answer(w http.ResponseWriter, status int, page rowstore.Page) {
+func (h *rowsHandler) writePage(w http.ResponseWriter, status int, page rowstore.Page) {
 	a := rowsAnswer{More: page.More, Version: page.Version, NowMS: time.Since(h.started).Milliseconds()}
 	for _, r := range page.Rows {
 		a.Rows = append(a.Rows, rowOnWire{Table: r.Table, Part: r.Part, Name: r.Name, Value: r.Value, Version: r.Version, Gone: r.Gone})
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins of the systems that rackspur serves:
-// the platform's service and a target. They are used by the tests, by trials
-// and by "rackspur dev", and can be made to fail.
+// Package standin provides in-memory stand-ins for the systems that rackspur works with:
+// the platform's store, executors and targets. Tests and "rackspur dev" use them, and
+// faults can be injected.
 package standin
 
 import (
@@ -15,39 +15,39 @@
 	"rackspur/store"
 )
 
-// What the platform's service carries, in calls a second.
+// Rate limits of the platform's store, in calls per second.
 const (
 	WritesPerSecond = 100
 	ReadsPerSecond  = 2000
 )
 
-// PlatformFaults says how the stand-in misbehaves.
+// PlatformFaults holds the faults that are injected into a Store.
 type PlatformFaults struct {
 	// Down makes every call fail without effect.
 	Down bool `json:"down"`
 	// SlowMS delays every call.
 	SlowMS int `json:"slow_ms"`
-	// LoseAnswers lets that many writes take effect without an answer.
+	// LoseAnswers is the number of writes that take effect but return store.ErrUncertain.
 	LoseAnswers int `json:"lose_answers"`
-	// LagMS is how old the list of boxes is.
+	// LagMS is the age of the list of boxes.
 	LagMS int `json:"lag_ms"`
 }
 
-// Store is the platform's service in memory. It implements store.Service.
+// Store is an in-memory store of the platform. It implements store.Service.
 type Store struct {
 	mu      sync.Mutex
 	rows    map[string]store.Row
 	objects map[string][]byte
 	boxes   map[string]store.Box
-	// past holds the earlier states of the list of boxes, oldest first.
-	past   []boxList
-	faults PlatformFaults
-	writes *rate.Limiter
-	reads  *rate.Limiter
-	counts StoreCounts
+	// boxHistory holds earlier versions of the list of boxes, oldest first.
+	boxHistory []boxList
+	faults     PlatformFaults
+	writes     *rate.Limiter
+	reads      *rate.Limiter
+	counts     StoreCounts
 }
 
-// StoreCounts are the calls handled since the start.
+// StoreCounts counts the calls handled since the start.
 type StoreCounts struct {
 	Reads  int64 `json:"reads"`
 	Writes int64 `json:"writes"`
@@ -69,33 +69,33 @@
 	}
 }
 
-// SetFaults sets how the store misbehaves from now on.
+// SetFaults replaces the injected faults.
 func (s *Store) SetFaults(f PlatformFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Counts returns the calls handled so far.
+// Counts returns the numbers of calls handled so far.
 func (s *Store) Counts() StoreCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// SetBox adds or changes a box of the list.
+// SetBox adds a box to the list or replaces it.
 func (s *Store) SetBox(b store.Box) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.past = append(s.past, boxList{until: time.Now(), boxes: s.list()})
+	s.boxHistory = append(s.boxHistory, boxList{until: time.Now(), boxes: s.list()})
 	s.boxes[b.Name] = b
 }
 
-// RemoveBox takes a box off the list.
+// RemoveBox removes a box from the list.
 func (s *Store) RemoveBox(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.past = append(s.past, boxList{until: time.Now(), boxes: s.list()})
+	s.boxHistory = append(s.boxHistory, boxList{until: time.Now(), boxes: s.list()})
 	delete(s.boxes, name)
 }
 
@@ -167,7 +167,7 @@
 	return rows, nil
 }
 
-// write runs a write and loses its answer if a fault says so.
+// write runs a write and applies the injected faults.
 func (s *Store) write(ctx context.Context, effect func() error) error {
 	if err := s.begin(ctx, s.writes); err != nil {
 		return store.ErrUncertain
@@ -230,12 +230,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	seen := time.Now().Add(-time.Duration(s.faults.LagMS) * time.Millisecond)
-	for i, old := range s.past {
+	for i, old := range s.boxHistory {
 		if old.until.After(seen) {
-			s.past = s.past[i:]
+			s.boxHistory = s.boxHistory[i:]
 			return old.boxes, nil
 		}
 	}
-	s.past = nil
+	s.boxHistory = nil
 	return s.list(), nil
 }
--- a/internal/standin/target.go
+++ b/internal/standin/target.go
@@ -13,12 +13,12 @@
 	"rackspur/target"
 )
 
-// Paths of the stand-in target beside the targets' interface.
+// Paths of the stand-in target in addition to the target interface.
 const (
 	PathStarts = "/admin/starts"
 )
 
-// Ways in which a target answers wrongly.
+// Values of TargetFaults.Answer.
 const (
 	AnswerHalf  = "half"
 	AnswerWrong = "wrong-task"
@@ -26,13 +26,13 @@
 	AnswerError = "error"
 )
 
-const maxPayload = 8 << 20
+const maxPayloadBytes = 8 << 20
 
-// TargetFaults says how the stand-in target misbehaves.
+// TargetFaults holds the faults that are injected into a Target.
 type TargetFaults struct {
-	// Slow multiplies every run time, in hundredths; 0 means 100.
+	// Slow scales every run time, in percent; 0 means 100.
 	Slow int `json:"slow_percent"`
-	// Answer is one of the wrong answers, or empty.
+	// Answer is the kind of wrong answer to give, or empty.
 	Answer string `json:"answer"`
 	// Stopped makes the target refuse tasks.
 	Stopped bool `json:"stopped"`
@@ -40,20 +40,20 @@
 	UsageLagMS int64 `json:"usage_lag_ms"`
 }
 
-// Payload is what the stand-in understands of a task. Other fields are allowed
-// and count in the result.
+// Payload is the part of a task's payload that the stand-in interprets. Other fields are
+// allowed and affect the result.
 type Payload struct {
 	// MS is the run time in milliseconds.
 	MS int `json:"ms"`
 }
 
-// Result is derived from the whole payload, so that a wrong part shows.
+// Result is the result of a task. Its digest covers the whole payload, to detect corruption.
 type Result struct {
 	Digest string `json:"digest"`
 	Target string `json:"target"`
 }
 
-// Started is a line of the start log.
+// Started is an entry of the start log.
 type Started struct {
 	Task   string    `json:"task"`
 	Member string    `json:"member"`
@@ -90,7 +90,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// SetFaults sets how the target misbehaves from now on.
+// SetFaults replaces the injected faults.
 func (t *Target) SetFaults(f TargetFaults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,13 +104,13 @@
 	return append([]Started{}, t.starts...)
 }
 
-// Handler serves the targets' interface.
+// Handler returns the HTTP interface of a target.
 func (t *Target) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+target.PathTasks, t.serveTask)
 	mux.HandleFunc("GET "+target.PathUsage, t.serveUsage)
 	mux.HandleFunc("GET "+PathStarts, func(w http.ResponseWriter, _ *http.Request) {
-		answer(w, t.Starts(), nil)
+		writeResponse(w, t.Starts(), nil)
 	})
 	mux.HandleFunc("PUT "+PathFaults, func(w http.ResponseWriter, r *http.Request) {
 		var f TargetFaults
@@ -122,7 +122,7 @@
 }
 
 func (t *Target) serveTask(w http.ResponseWriter, r *http.Request) {
-	payload, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxPayload))
+	payload, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxPayloadBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -137,19 +137,19 @@
 		http.Error(w, "no slot", http.StatusServiceUnavailable)
 		return
 	}
-	lasts, cut := runTime(p, faults, r)
-	time.Sleep(lasts)
-	// The slot is free before the answer goes out: who has it may send the next task.
+	duration, expired := runTime(p, faults, r)
+	time.Sleep(duration)
+	// Free the slot before answering: the caller may then send the next task at once.
 	t.end()
-	if cut {
-		// A task that its lease has ended has no result.
+	if expired {
+		// A task whose lease expired has no result.
 		panic(http.ErrAbortHandler)
 	}
 	t.reply(w, r, payload, faults.Answer)
 }
 
-// runTime is the time a task takes, and whether its lease ends it before.
-func runTime(p Payload, f TargetFaults, r *http.Request) (lasts time.Duration, cut bool) {
+// runTime returns how long a task runs and whether its lease ends it early.
+func runTime(p Payload, f TargetFaults, r *http.Request) (duration time.Duration, expired bool) {
 	d := time.Duration(p.MS) * time.Millisecond
 	if f.Slow > 0 {
 		d = d * time.Duration(f.Slow) / 100
@@ -184,12 +184,12 @@
 	t.setRunning(t.running - 1)
 }
 
-// setRunning changes the number in flight and keeps what the usage report needs.
+// setRunning sets the number of running tasks and updates the samples for the usage report.
 func (t *Target) setRunning(n int) {
 	t.running = n
 	now := time.Now()
 	t.usage = append(t.usage, usageSample{at: now, running: n})
-	// The last sample before the lag tells what ran then; older ones tell nothing.
+	// Keep the newest sample that is at least as old as the lag and all later ones.
 	seen := now.Add(-t.lag())
 	for len(t.usage) > 1 && !t.usage[1].at.After(seen) {
 		t.usage = t.usage[1:]
@@ -200,10 +200,10 @@
 	return time.Duration(t.faults.UsageLagMS) * time.Millisecond
 }
 
-func (t *Target) reply(w http.ResponseWriter, r *http.Request, payload []byte, wrong string) {
+func (t *Target) reply(w http.ResponseWriter, r *http.Request, payload []byte, fault string) {
 	body, _ := json.Marshal(Result{Digest: Digest(payload), Target: t.name})
 	w.Header().Set(target.HeaderTask, r.Header.Get(target.HeaderTask))
-	switch wrong {
+	switch fault {
 	case AnswerWrong:
 		w.Header().Set(target.HeaderTask, "another")
 	case AnswerNone:
@@ -233,5 +233,5 @@
 		}
 		u.Running = s.running
 	}
-	answer(w, u, nil)
+	writeResponse(w, u, nil)
 }
--- a/internal/standin/target_test.go
+++ b/internal/standin/target_test.go
@@ -11,8 +11,8 @@
 	"rackspur/target"
 )
 
-// TestSlotIsFreeOnceAnswered sends the next task to a full target as soon as an
-// answer has come. The slot of the answered task must be free by then.
+// TestSlotIsFreeOnceAnswered checks that a task's slot is free by the time its answer
+// arrives: a full target must accept the next task at once.
 func TestSlotIsFreeOnceAnswered(t *testing.T) {
 	const slots, rounds = 8, 300
 	srv := httptest.NewServer(NewTarget("t", slots).Handler())
@@ -35,8 +35,7 @@
 	wg.Wait()
 }
 
-// TestLeaseLeavesNoResult has a task that its lease ends. However late the
-// caller looks, there is no whole answer to it.
+// TestLeaseLeavesNoResult checks that a task whose lease expires gets no answer.
 func TestLeaseLeavesNoResult(t *testing.T) {
 	srv := httptest.NewServer(NewTarget("t", 1).Handler())
 	defer srv.Close()
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,5 +1,4 @@
-// Package wait has the one way in which loops pause between two tries: it ends early
-// with their context.
+// Package wait provides a sleep that ends early when a context ends.
 package wait
 
 import (
@@ -7,7 +6,7 @@
 	"time"
 )
 
-// For waits for a time, or until the context ends.
+// For waits for d or until the context ends.
 func For(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
