--- a/observe/bounded_test.go
+++ b/observe/bounded_test.go
@@ -8,43 +8,43 @@
 	"time"
 )
 
-// gateWriter blocks until it is opened.
-type gateWriter struct {
+// blockedWriter blocks until open is closed.
+type blockedWriter struct {
 	open chan struct{}
 	mu   sync.Mutex
 	buf  bytes.Buffer
 }
 
-func (g *gateWriter) Write(b []byte) (int, error) {
+func (g *blockedWriter) Write(b []byte) (int, error) {
 	<-g.open
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.buf.Write(b)
 }
 
-func (g *gateWriter) text() string {
+func (g *blockedWriter) text() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.buf.String()
 }
 
-// A reader that stands still does not hold up who writes; what is left out is counted.
+// A blocked destination does not block writers; dropped lines are counted and reported.
 func TestBoundedWriter(t *testing.T) {
-	g := &gateWriter{open: make(chan struct{})}
+	g := &blockedWriter{open: make(chan struct{})}
 	w := NewBoundedWriter(g)
-	for range boundedLines + 100 {
+	for range maxQueuedLines + 100 {
 		if _, err := w.Write([]byte("line\n")); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if w.LeftOut() == 0 {
-		t.Error("nothing was left out though nobody reads")
+		t.Error("no lines were dropped although the destination is blocked")
 	}
 	close(g.open)
 	until := time.Now().Add(10 * time.Second)
 	for !strings.Contains(g.text(), "Lines left out.") {
 		if time.Now().After(until) {
-			t.Fatal("no line tells how many were left out")
+			t.Fatal("the number of dropped lines was not reported")
 		}
 		<-time.After(time.Millisecond)
 	}
--- a/observe/log.go
+++ b/observe/log.go
@@ -1,5 +1,4 @@
-// Package observe holds what operators watch: logs, metrics, traces and the
-// operators' port.
+// Package observe provides logging, metrics, tracing and the operators' HTTP port.
 package observe
 
 import (
@@ -12,17 +11,16 @@
 	"github.com/go-logr/logr/funcr"
 )
 
-// LogFormat is the form of log lines.
+// LogFormat is the format of log lines.
 type LogFormat string
 
-// The forms of log lines.
+// Log formats.
 const (
 	LogText LogFormat = "text"
 	LogJSON LogFormat = "json"
 )
 
-// NewLogger returns a logger that writes lines to w. Each part of the system
-// takes its own prefix with WithName.
+// NewLogger returns a logger that writes lines to w. It is safe for concurrent use.
 func NewLogger(w io.Writer, f LogFormat, verbosity int) logr.Logger {
 	var mu sync.Mutex
 	write := func(line string) {
--- a/observe/metrics.go
+++ b/observe/metrics.go
@@ -27,13 +27,13 @@
 	MetricGrantsReturned   = "slots.returned"
 )
 
-// reservoir sizes of the latency histograms.
+// Parameters of the exponentially decaying sample of a histogram.
 const (
 	reservoirSize  = 1028
 	reservoirAlpha = 0.015
 )
 
-// Metrics is the registry of one process.
+// Metrics is the metrics registry of a process.
 type Metrics struct {
 	registry metrics.Registry
 }
@@ -48,25 +48,25 @@
 	metrics.GetOrRegisterCounter(name, m.registry).Inc(n)
 }
 
-// Waste is the reason for which a message led neither to a start nor an answer.
+// Waste is the reason why a message contributed neither to a start nor to an answer.
 type Waste string
 
-// The reasons.
+// Reasons for wasted messages.
 const (
-	// WasteReport: a load report that no request needed.
+	// WasteReport is a load report that no request needed.
 	WasteReport Waste = "report"
-	// WasteRefusal: a start that a gate refused, and the refusal.
+	// WasteRefusal is a start that a gate refused, or the refusal.
 	WasteRefusal Waste = "refusal"
-	// WasteGrant: a slot granted and given back, or a wish for one withdrawn.
+	// WasteGrant is a slot granted and returned unused, or a withdrawn request for one.
 	WasteGrant Waste = "grant"
-	// WasteAck: an acknowledgement alone.
+	// WasteAck is a message that carries only an acknowledgement.
 	WasteAck Waste = "ack"
 )
 
-// Wasted counts wasted messages, all together and by reason.
-func (m *Metrics) Wasted(why Waste, n int64) {
+// Wasted counts wasted messages in total and by reason.
+func (m *Metrics) Wasted(reason Waste, n int64) {
 	m.Count(MetricMessagesWasted, n)
-	m.Count(MetricMessagesWasted+"."+string(why), n)
+	m.Count(MetricMessagesWasted+"."+string(reason), n)
 }
 
 // Value returns the value of a counter.
@@ -74,7 +74,7 @@
 	return metrics.GetOrRegisterCounter(name, m.registry).Count()
 }
 
-// Gauge registers a gauge that reads f.
+// Gauge registers a gauge whose value is that of f.
 func (m *Metrics) Gauge(name string, f func() int64) {
 	_ = m.registry.Register(name, metrics.NewFunctionalGauge(f))
 }
@@ -87,14 +87,13 @@
 	h.(metrics.Histogram).Update(micros)
 }
 
-// ServeHTTP implements http.Handler.ServeHTTP. It writes all metrics as JSON.
+// ServeHTTP implements http.Handler.ServeHTTP. It responds with all metrics as JSON.
 func (m *Metrics) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	metrics.WriteJSONOnce(m.registry, w)
 }
 
-// Messages returns a gRPC stats handler that counts the messages and bytes
-// between our processes.
+// Messages returns a gRPC stats handler that counts messages and bytes.
 func (m *Metrics) Messages() stats.Handler {
 	return &messageCounter{
 		sent:     metrics.GetOrRegisterCounter(MetricMessagesSent, m.registry),
--- a/observe/port.go
+++ b/observe/port.go
@@ -23,20 +23,19 @@
 	PathWatch   = "/policy/watch"
 )
 
-const headerTimeout = 5 * time.Second
+const readHeaderTimeout = 5 * time.Second
 
-// ErrPort says that the operators' port can't be served.
+// ErrPort is returned if the operators' port cannot be opened or served.
 var ErrPort = eris.New("observe: operators' port")
 
-// Port is the operators' port of a process.
+// Port is the HTTP server for operators of a process.
 type Port struct {
 	mux      *http.ServeMux
 	listener net.Listener
 	log      logr.Logger
 }
 
-// NewPort listens on an address. The profiles of net/http/pprof are served
-// here only.
+// NewPort listens on an address. It serves the metrics and the profiles of net/http/pprof.
 func NewPort(address string, m *Metrics, log logr.Logger) (*Port, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -59,10 +58,10 @@
 
 // Serve implements suture.Service.Serve.
 func (p *Port) Serve(ctx context.Context) error {
-	srv := &http.Server{Handler: p.mux, ReadHeaderTimeout: headerTimeout}
+	srv := &http.Server{Handler: p.mux, ReadHeaderTimeout: readHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
 	defer stop()
-	p.log.V(1).Info("Serving operators.", "address", p.listener.Addr().String())
+	p.log.V(1).Info("Serving the operators' port.", "address", p.listener.Addr().String())
 	err := srv.Serve(p.listener)
 	if errors.Is(err, http.ErrServerClosed) {
 		return ctx.Err()
@@ -70,7 +69,7 @@
 	return eris.Wrap(ErrPort, err.Error())
 }
 
-// WriteJSON writes v as the answer of a handler.
+// WriteJSON writes a response with v as JSON.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/observe/text.go
+++ b/observe/text.go
@@ -9,11 +9,10 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// quantiles of the histograms in the text form.
+// quantiles are the quantiles of histograms that WriteText writes.
 var quantiles = []float64{0.5, 0.9, 0.99}
 
-// WriteText writes all metrics in the text form that common collectors read: a
-// name, labels and a value on each line.
+// WriteText writes all metrics in the Prometheus text format.
 func (m *Metrics) WriteText(w io.Writer) {
 	m.registry.Each(func(name string, metric any) {
 		name = strings.NewReplacer(".", "_", "-", "_").Replace(name)
@@ -35,7 +34,7 @@
 	fmt.Fprintf(w, "%s_count %d\n%s_sum %d\n", name, h.Count(), name, h.Sum())
 }
 
-// TextHandler serves WriteText.
+// TextHandler returns a handler that responds with WriteText.
 func (m *Metrics) TextHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
--- a/observe/trace.go
+++ b/observe/trace.go
@@ -15,27 +15,28 @@
 	oteltrace "go.opentelemetry.io/otel/trace"
 )
 
-// TraceExporter says where spans go.
+// TraceExporter selects the exporter of spans.
 type TraceExporter string
 
-// The exporters.
+// Trace exporters.
 const (
 	TraceNone TraceExporter = "none"
 	TraceText TraceExporter = "stderr"
 	TraceOTLP TraceExporter = "otlp"
 )
 
-// ErrTrace says that an exporter can't be set up.
-var ErrTrace = eris.New("observe: trace exporter")
+// ErrTrace is returned if an exporter cannot be set up.
+var ErrTrace = eris.New("observe: cannot set up trace exporter")
 
-// tracerName names the spans' instrumentation scope.
+// tracerName is the instrumentation scope of the spans.
 const tracerName = "rackspur"
 
-// traceParent is the name of the W3C field that carries a span's identity.
-const traceParent = "traceparent"
+// traceParentField is the W3C Trace Context field that identifies the parent span.
+const traceParentField = "traceparent"
 
-// StartTracing sets the process's tracer. It returns a function that flushes
-// what is left. With TraceNone, trace identities still travel along.
+// StartTracing sets the global tracer provider and propagator. It returns a function that
+// flushes pending spans. With TraceNone no spans are recorded, but trace contexts are still
+// propagated.
 func StartTracing(ctx context.Context, e TraceExporter, endpoint, service string, w io.Writer) (func(context.Context) error, error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	exporter, err := newExporter(ctx, e, endpoint, w)
@@ -64,23 +65,23 @@
 	}
 }
 
-// Span starts a span for a hop.
+// Span starts a span.
 func Span(ctx context.Context, name string, attrs ...attribute.KeyValue) (context.Context, oteltrace.Span) {
 	return otel.Tracer(tracerName).Start(ctx, name, oteltrace.WithAttributes(attrs...))
 }
 
-// TraceParent returns the identity of the context's span for a message.
+// TraceParent returns the traceparent field for the context's span.
 func TraceParent(ctx context.Context) string {
 	carrier := propagation.MapCarrier{}
 	otel.GetTextMapPropagator().Inject(ctx, carrier)
-	return carrier.Get(traceParent)
+	return carrier.Get(traceParentField)
 }
 
-// WithTraceParent returns a context whose spans continue the given one.
+// WithTraceParent returns a context whose spans have the given traceparent as their parent.
 func WithTraceParent(ctx context.Context, parent string) context.Context {
 	if parent == "" {
 		return ctx
 	}
-	carrier := propagation.MapCarrier{traceParent: parent}
+	carrier := propagation.MapCarrier{traceParentField: parent}
 	return otel.GetTextMapPropagator().Extract(ctx, carrier)
 }
--- a/observe/unreadable.go
+++ b/observe/unreadable.go
@@ -7,18 +7,18 @@
 	"github.com/go-logr/logr"
 )
 
-// MetricUnreadable counts the entries that could not be read.
+// MetricUnreadable counts unreadable entries.
 const MetricUnreadable = "entries.unreadable"
 
-// unreadablePause is the least time between two lines about entries of one source: a bad
-// row of a table that is read 20 times a second would be as many lines.
-const unreadablePause = 2 * time.Second
+// minLogInterval is the minimum time between two log lines about one source: tables are read
+// up to 20 times a second.
+const minLogInterval = 2 * time.Second
 
-// mostKey is how much of an entry's key a line tells, in bytes.
-const mostKey = 100
+// maxKeyBytes limits how much of an entry's key is logged.
+const maxKeyBytes = 100
 
-// Unreadable counts and logs entries that others have written and that can't be read:
-// rows of the store, heartbeats, rows of a target's lists. A nil one does nothing.
+// Unreadable counts and logs entries from other processes that cannot be decoded: rows of
+// the store, heartbeats and rows of a target's lists. A nil *Unreadable does nothing.
 type Unreadable struct {
 	log     logr.Logger
 	metrics *Metrics
@@ -27,34 +27,35 @@
 	sources map[string]*sourceLog
 }
 
-// sourceLog is what was told of a source.
+// sourceLog is the logging state of a source.
 type sourceLog struct {
-	told time.Time
-	// untold is how many entries have come since.
-	untold int
+	loggedAt time.Time
+	// unlogged counts the entries since then.
+	unlogged int
 }
 
-// NewUnreadable returns a log of unreadable entries.
+// NewUnreadable returns an Unreadable that uses the given logger and metrics.
 func NewUnreadable(log logr.Logger, m *Metrics) *Unreadable {
 	return &Unreadable{log: log, metrics: m, sources: map[string]*sourceLog{}}
 }
 
-// Note takes in that an entry can't be read. Source is where it stood, one of a few names;
-// key is which entry, reason what is wrong with it.
+// Note records an unreadable entry. The source must be one of a small set of names; the key
+// identifies the entry and the reason says what is wrong with it.
 func (u *Unreadable) Note(source, key, reason string) {
 	if u == nil {
 		return
 	}
 	u.metrics.Count(MetricUnreadable, 1)
-	untold, due := u.take(source)
+	unlogged, due := u.nextLine(source)
 	if !due {
 		return
 	}
-	u.log.Info("Entry can't be read; left alone.", "source", source, "key", key[:min(len(key), mostKey)], "reason", reason, "untold", untold)
+	u.log.Info("Unreadable entry ignored.", "source", source, "key", key[:min(len(key), maxKeyBytes)], "reason", reason, "untold", unlogged)
 }
 
-// take counts an entry and says whether a line is due, and how many had none.
-func (u *Unreadable) take(source string) (untold int, due bool) {
+// nextLine counts an entry. It returns whether the source is due a log line and how many
+// earlier entries were not logged.
+func (u *Unreadable) nextLine(source string) (unlogged int, due bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	s := u.sources[source]
@@ -62,11 +63,11 @@
 		s = &sourceLog{}
 		u.sources[source] = s
 	}
-	if time.Since(s.told) < unreadablePause {
-		s.untold++
+	if time.Since(s.loggedAt) < minLogInterval {
+		s.unlogged++
 		return 0, false
 	}
-	untold = s.untold
-	*s = sourceLog{told: time.Now()}
-	return untold, true
+	unlogged = s.unlogged
+	*s = sourceLog{loggedAt: time.Now()}
+	return unlogged, true
 }
--- a/observe/unreadable_test.go
+++ b/observe/unreadable_test.go
@@ -9,7 +9,8 @@
 	"github.com/go-logr/logr/funcr"
 )
 
-// Each entry is counted; a source has a line each two seconds, with how many had none.
+// Every entry is counted, but each source is logged at most once per minLogInterval, with
+// the number of entries not logged.
 func TestUnreadable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var lines []string
@@ -19,7 +20,7 @@
 			u.Note("members", strings.Repeat("k", 10_000), "no address")
 		}
 		u.Note("heartbeat", "i-1", "state")
-		time.Sleep(unreadablePause)
+		time.Sleep(minLogInterval)
 		u.Note("members", "k", "no address")
 		if got := m.Value(MetricUnreadable); got != 7 {
 			t.Errorf("counted %d, want 7", got)
