--- a/internal/standin/executor.go
+++ b/internal/standin/executor.go
@@ -298,9 +298,9 @@
 	return gate.Answer{ClockMS: e.clock(time.Now()), Life: gate.Life{ID: e.Life, Born: e.Born}}, e.lists(), nil
 }
 
-// acknowledge drops the ends up to number seen.
-func (e *Executor) acknowledge(seen int64) {
-	for len(e.ends) > 0 && e.ends[0].Number <= seen {
+// acknowledge drops the ends with numbers up to upTo.
+func (e *Executor) acknowledge(upTo int64) {
+	for len(e.ends) > 0 && e.ends[0].Number <= upTo {
 		e.markNoted(e.ends[0].Number)
 		e.ends = e.ends[1:]
 		e.acked++
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -92,8 +92,8 @@
 	return true
 }
 
-// writeResponse writes v, or the status that stands for an error. An writeResponse that is
-// lost is a connection that ends without one.
+// writeResponse writes v, or the status for an error. For store.ErrUncertain it aborts the
+// connection without a response.
 func writeResponse(w http.ResponseWriter, v any, err error) {
 	switch {
 	case err == nil:
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -27,7 +27,7 @@
 	Down bool `json:"down"`
 	// SlowMS delays every call.
 	SlowMS int `json:"slow_ms"`
-	// LoseAnswers is the number of writes that take effect but return store.ErrUncertain.
+	// LoseAnswers is how many of the next writes take effect but return store.ErrUncertain.
 	LoseAnswers int `json:"lose_answers"`
 	// LagMS is the age of the list of boxes.
 	LagMS int `json:"lag_ms"`
--- a/observe/port.go
+++ b/observe/port.go
@@ -28,7 +28,7 @@
 // ErrPort is returned if the operators' port cannot be opened or served.
 var ErrPort = eris.New("observe: operators' port")
 
-// Port is the HTTP server for operators of a process.
+// Port is a process's HTTP server for operators.
 type Port struct {
 	mux      *http.ServeMux
 	listener net.Listener
