--- a/gate/restart_test.go
+++ b/gate/restart_test.go
@@ -7,36 +7,35 @@
 	"rackspur/job"
 )
 
-// A target that had crashed started again under its id. Its box went on by what it knew of
-// the former life: it passed lists over since their clock was behind ("clockMS" below
-// "newestMS"), let the newer life forget its ends by the former lastSeen, and dropped
-// heartbeats with a lower sequence, "draining" among them. The tests of this file go
-// through every word, order and answer that can cross such a restart.
+// The tests in this file cover a target that crashes and restarts under the same id. Every
+// message, order and answer that can cross the restart must be attributed to the right
+// incarnation.
 
-// Lives of a target that starts again under its id.
+// Incarnations of a target that restarts under its id.
 var (
 	firstLife  = Life{ID: "i-1", Born: 1_796_260_000_000}
 	secondLife = Life{ID: "i-1", Born: 1_796_260_030_000}
 	thirdLife  = Life{ID: "i-1", Born: 1_796_260_031_000}
 )
 
-// Clocks of the lives when the gate's own was zero: one that begins anew is behind the
-// former one or, as it begins anywhere, ahead of it.
+// Clocks of the incarnations at the gate's time zero. The clock of a new incarnation starts
+// anywhere, behind or ahead of the previous one.
 const (
 	firstClockAt  = 100_000
 	behindClockAt = 2_000
 	aheadClockAt  = 900_000
 )
 
-// restartBench is a gate beside a target whose lives the test answers for.
+// restartBench is a gate beside a target whose incarnations are simulated by the test.
 type restartBench struct {
 	*bench
 	life Life
-	// sequence counts the heartbeats of the life.
+	// sequence counts the heartbeats of the incarnation.
 	sequence int64
 }
 
-// newRestartBench returns a gate that knows the first life, which has noted some ends.
+// newRestartBench returns a gate that knows the first incarnation and has acknowledged some
+// ends.
 func newRestartBench(t *testing.T) *restartBench {
 	b := &restartBench{bench: &bench{t: t, now: time.Second, clock: firstClockAt}, life: firstLife}
 	b.gate = New(Options{
@@ -49,12 +48,12 @@
 	b.answer(HoldAnswer{})
 	b.answer(HoldAnswer{})
 	b.gate.Connect(b.now, testOwner, 1, func() {})
-	b.noteEnds(5)
+	b.ackEnds(5)
 	return b
 }
 
-// noteEnds has the first life run and note so many tasks.
-func (b *restartBench) noteEnds(n int) {
+// ackEnds runs n tasks on the first incarnation and acknowledges their ends.
+func (b *restartBench) ackEnds(n int) {
 	b.t.Helper()
 	for i := range n {
 		name := testRun("warm", i, 1)
@@ -63,19 +62,19 @@
 		b.verdict(name, VerdictNote)
 	}
 	if h := b.answer(HoldAnswer{}); h.Call.Seen != int64(n) {
-		b.t.Fatalf("noted up to %d, want %d", h.Call.Seen, n)
+		b.t.Fatalf("acknowledged up to %d, want %d", h.Call.Seen, n)
 	}
 	b.states()
 }
 
-// restart has the target start again.
+// restart restarts the target.
 func (b *restartBench) restart(life Life, clockAt int64) {
 	b.life = life
 	b.clock = clockAt - b.now.Milliseconds()
 	b.sequence = 0
 }
 
-// beat sends the next heartbeat of the life.
+// beat sends the next heartbeat of the current incarnation.
 func (b *restartBench) beat(draining bool) (believed bool) {
 	b.sequence++
 	_, believed = b.gate.OnHeartbeat(b.now, b.heartbeatOf(b.life, b.sequence, draining))
@@ -89,7 +88,7 @@
 	}
 }
 
-// answer makes the hold that is due, which the life answers a millisecond later.
+// answer sends the hold that is due, which the target answers a millisecond later.
 func (b *restartBench) answer(lists HoldAnswer) Hold {
 	h := b.gate.NextHold(b.now, 0)
 	b.now += time.Millisecond
@@ -97,12 +96,12 @@
 	return h
 }
 
-// answered gives the life's answer to a hold.
+// answered delivers the target's answer to a hold.
 func (b *restartBench) answered(h Hold, lists HoldAnswer) {
 	b.gate.OnHold(b.now, h, Answer{ClockMS: b.targetClock(), Life: Life{Born: b.life.Born}}, lists, nil)
 }
 
-// startRun starts a best-effort run at the life.
+// startRun starts a best-effort run.
 func (b *restartBench) startRun(name job.RunName) Actions {
 	b.t.Helper()
 	a := b.orderBy(testOwner, b.now, name)
@@ -113,14 +112,14 @@
 	return a
 }
 
-// clocksOfRestart runs a test with a clock of the newer life on each side of the former's.
+// clocksOfRestart runs a test with the new clock behind and ahead of the previous one.
 func clocksOfRestart(t *testing.T, test func(t *testing.T, clockAt int64)) {
 	t.Run("clock behind", func(t *testing.T) { test(t, behindClockAt) })
 	t.Run("clock ahead", func(t *testing.T) { test(t, aheadClockAt) })
 }
 
-// What was at work in the former life is over, and its owner is told so once, not before
-// the newer one has listed what runs there.
+// Active runs of the previous incarnation are reported as lost, once, after the new one has
+// listed its runs.
 func TestRestartEndsRuns(t *testing.T) {
 	clocksOfRestart(t, func(t *testing.T, clockAt int64) {
 		b := newRestartBench(t)
@@ -131,24 +130,24 @@
 		b.restart(secondLife, clockAt)
 		b.answer(HoldAnswer{})
 		if b.gate.life != secondLife {
-			t.Fatalf("life %v after an answer of the newer one", b.gate.life)
+			t.Fatalf("life %v after an answer of the new one", b.gate.life)
 		}
 		if s, told := b.states()[name]; told {
-			t.Errorf("told %+v before the newer life has listed its runs", s)
+			t.Errorf("reported %+v before the new incarnation has listed its runs", s)
 		}
 		b.answer(HoldAnswer{})
 		if s := b.states()[name]; s.End != EndLost {
-			t.Errorf("told %+v, want the run lost", s)
+			t.Errorf("reported %+v, want the run lost", s)
 		}
 		b.beat(false)
 		if !b.open() || b.gate.used != (job.Resources{}) {
-			t.Errorf("open %v, %+v in use, want an open gate with all its room", b.open(), b.gate.used)
+			t.Errorf("open %v, %+v in use, want an open gate with all its capacity", b.open(), b.gate.used)
 		}
 	})
 }
 
-// A start that was meant for the former life was carried out by the newer one. The run
-// goes on and ends there, and its end is told and noted once.
+// If a start meant for the previous incarnation is carried out by the new one, the run
+// continues there, and its end is reported and acknowledged once.
 func TestRestartKeepsRunCarriedOutThere(t *testing.T) {
 	clocksOfRestart(t, func(t *testing.T, clockAt int64) {
 		for _, answered := range []bool{true, false} {
@@ -164,15 +163,15 @@
 			b.answer(working(name))
 			b.answer(working(name))
 			if s := b.states()[name]; s.End != 0 {
-				t.Fatalf("told %+v of a run at work (start answered %v)", s, answered)
+				t.Fatalf("reported %+v of a run at work (start answered %v)", s, answered)
 			}
 			b.answer(HoldAnswer{Finished: []Ended{{Number: 1, Name: name, Kind: EndDone}}})
 			if s := b.states()[name]; s.End != EndDone {
-				t.Errorf("told %+v, want the run done (start answered %v)", s, answered)
+				t.Errorf("reported %+v, want the run done (start answered %v)", s, answered)
 			}
 			b.verdict(name, VerdictNote)
 			if h := b.answer(HoldAnswer{}); h.Call.Seen != 1 {
-				t.Errorf("noted up to %d, want 1 (start answered %v)", h.Call.Seen, answered)
+				t.Errorf("acknowledged up to %d, want 1 (start answered %v)", h.Call.Seen, answered)
 			}
 			if b.gate.HasRuns(testOwner) {
 				t.Error("the run is still known")
@@ -181,36 +180,34 @@
 	})
 }
 
-// Ends of the newer life are numbered from 1. A hold names none of them as noted before
-// they were heard, also one that was sent while calls failed and nobody knew of a restart.
+// The new incarnation numbers its ends from 1. No hold acknowledges them before they are
+// reported, not even one sent after a failed call and before the restart is known.
 func TestRestartForgetsNoEnds(t *testing.T) {
 	b := newRestartBench(t)
 	h := b.gate.NextHold(b.now, 0)
 	b.gate.OnHold(b.now, h, Answer{}, HoldAnswer{}, ErrUnanswered)
 	b.restart(secondLife, behindClockAt)
 	if h := b.answer(HoldAnswer{}); h.Call.Seen != 0 {
-		t.Errorf("a hold to a target that may have started again notes ends up to %d", h.Call.Seen)
+		t.Errorf("a hold to a target that may have restarted acknowledges ends up to %d", h.Call.Seen)
 	}
 	if h := b.answer(HoldAnswer{}); h.Call.Seen != 0 {
-		t.Errorf("the first hold to the newer life notes ends up to %d", h.Call.Seen)
+		t.Errorf("the first hold to the new incarnation acknowledges ends up to %d", h.Call.Seen)
 	}
 }
 
-// A target was back 2 ms after it had crashed, and no call had failed. It carried out a start
-// that was under way, at 02.974 s, and the run was done at 03.008 s. Its first heartbeat was
-// heard at 03.06 s, and the hold that followed noted ends up to the former life's number: the
-// newer one forgot that end, and the task began again at 03.080 s.
+// The hold that follows the new incarnation's first heartbeat acknowledges no ends, even if no
+// call has failed.
 func TestClaimNotesNoEnds(t *testing.T) {
 	b := newRestartBench(t)
 	b.restart(secondLife, behindClockAt)
 	b.beat(false)
 	if h := b.answer(HoldAnswer{}); h.Call.Seen != 0 {
-		t.Errorf("the hold that asks which life is there notes ends up to %d", h.Call.Seen)
+		t.Errorf("the hold that asks which incarnation is running acknowledges ends up to %d", h.Call.Seen)
 	}
 }
 
-// An older hold that fails says nothing of the target once a newer one was answered: ends
-// go on being noted without a pause.
+// If an older hold fails after a newer one was answered, ends are still acknowledged without a
+// pause.
 func TestOlderHoldThatFails(t *testing.T) {
 	b := newRestartBench(t)
 	older := b.gate.NextHold(b.now, 0)
@@ -218,12 +215,12 @@
 	b.answer(HoldAnswer{})
 	b.gate.OnHold(b.now, older, Answer{}, HoldAnswer{}, ErrUnanswered)
 	if h := b.gate.NextHold(b.now, 0); h.Call.Seen != 5 || !b.gate.Confirmed() {
-		t.Errorf("notes up to %d, confirmed %v, want 5 and confirmed", h.Call.Seen, b.gate.Confirmed())
+		t.Errorf("acknowledges up to %d, confirmed %v, want 5 and confirmed", h.Call.Seen, b.gate.Confirmed())
 	}
 }
 
-// Calls that were meant for the former life are turned away by the newer one from its first
-// lists on: the fencing token has risen.
+// The fencing token is raised before the new incarnation's lists count, so that it rejects
+// calls meant for the previous one.
 func TestRestartRaisesFence(t *testing.T) {
 	clocksOfRestart(t, func(t *testing.T, clockAt int64) {
 		b := newRestartBench(t)
@@ -231,13 +228,13 @@
 		b.restart(secondLife, clockAt)
 		b.answer(HoldAnswer{})
 		if h := b.answer(HoldAnswer{}); h.Call.Fence <= former {
-			t.Errorf("token %d for the newer life, %d for the former", h.Call.Fence, former)
+			t.Errorf("token %d for the new incarnation, %d for the former", h.Call.Fence, former)
 		}
 	})
 }
 
-// A new process of the gate, whose box's time of day has gone back, gets above the token
-// of the process before within a few calls.
+// A new process of the gate on a box whose clock was set back exceeds the token of the earlier
+// process within a few calls.
 func TestFenceAboveEarlierProcess(t *testing.T) {
 	b := newRestartBench(t)
 	seen := b.gate.fence + 5000
@@ -254,7 +251,7 @@
 	}
 }
 
-// Leases, and when they are over, go by the clock of the life that is there.
+// Leases and their expiry follow the clock of the current incarnation.
 func TestRestartLease(t *testing.T) {
 	clocksOfRestart(t, func(t *testing.T, clockAt int64) {
 		b := newRestartBench(t)
@@ -262,7 +259,7 @@
 		b.restart(secondLife, clockAt)
 		b.answer(HoldAnswer{})
 		if h := b.answer(HoldAnswer{}); h.Call.UntilMS != 0 {
-			t.Errorf("leased until %d before the newer life has listed its runs", h.Call.UntilMS)
+			t.Errorf("leased until %d before the new incarnation has listed its runs", h.Call.UntilMS)
 		}
 		b.beat(false)
 		name := testRun("bb", 0, 1)
@@ -277,8 +274,8 @@
 	})
 }
 
-// A newer life that says that it leaves gets no more work, by its first heartbeat with a
-// sequence below the former's, before it has answered a call and after.
+// A new incarnation that reports draining gets no more runs, even if the heartbeat's sequence
+// number is below the previous incarnation's, whether or not it has answered a call.
 func TestRestartDraining(t *testing.T) {
 	for _, answered := range []bool{false, true} {
 		b := newRestartBench(t)
@@ -288,10 +285,10 @@
 			b.answer(HoldAnswer{})
 		}
 		if !b.beat(true) {
-			t.Error("the heartbeat is not believed")
+			t.Error("the heartbeat is not trusted")
 		}
 		if b.open() {
-			t.Errorf("open beside a target that leaves (had answered %v)", answered)
+			t.Errorf("open beside a draining target (had answered %v)", answered)
 		}
 		for range 3 {
 			b.answer(HoldAnswer{})
@@ -303,7 +300,7 @@
 	}
 }
 
-// Draining of the former life is not the newer one's, whose description counts.
+// Draining does not carry over from the previous incarnation.
 func TestRestartAfterDraining(t *testing.T) {
 	b := newRestartBench(t)
 	b.beat(true)
@@ -311,15 +308,15 @@
 	b.answer(HoldAnswer{})
 	b.answer(HoldAnswer{})
 	if b.open() {
-		t.Error("open before the newer life has described itself")
+		t.Error("open before the new incarnation has sent a heartbeat")
 	}
 	b.beat(false)
 	if !b.open() {
-		t.Error("closed to the newer life")
+		t.Error("closed to the new incarnation")
 	}
 }
 
-// Words of the former life that come late change nothing, and are not believed.
+// Late messages of the previous incarnation are not trusted and change nothing.
 func TestRestartThenLateWords(t *testing.T) {
 	tests := []struct {
 		name string
@@ -327,7 +324,7 @@
 	}{
 		{"a heartbeat", func(b *restartBench, _ Hold) {
 			if _, believed := b.gate.OnHeartbeat(b.now, b.heartbeatOf(firstLife, 90, true)); believed {
-				b.t.Error("a heartbeat of the former life is believed")
+				b.t.Error("a heartbeat of the previous incarnation is trusted")
 			}
 		}},
 		{"a deregistration", func(b *restartBench, _ Hold) { b.gate.OnDeregister(b.now, firstLife) }},
@@ -360,7 +357,7 @@
 				t.Errorf("life %v, token %d (was %d), open %v", b.gate.life, b.gate.fence, fence, b.open())
 			}
 			if s, told := b.states()[name]; told {
-				t.Errorf("told %+v", s)
+				t.Errorf("reported %+v", s)
 			}
 			if b.gate.leaseOver(b.now) {
 				t.Error("the lease counts as over")
@@ -369,8 +366,8 @@
 	}
 }
 
-// A new process of the gate has just heard the newer life. An answer of the former one, to a
-// call that was sent before, comes last.
+// A new process of the gate ignores an answer of the previous incarnation that arrives after
+// the new one's, to a call sent before.
 func TestOvertakenAnswerOfFormerLife(t *testing.T) {
 	b := newRestartBench(t)
 	b.gate = New(b.gate.options)
@@ -384,11 +381,12 @@
 	b.gate.OnHold(b.now, early, Answer{ClockMS: aheadClockAt, Life: Life{Born: firstLife.Born}}, HoldAnswer{}, nil)
 	b.answer(HoldAnswer{})
 	if b.gate.life != secondLife || !b.gate.Open(b.now) {
-		t.Errorf("life %v, open %v, want the newer one and open", b.gate.life, b.gate.Open(b.now))
+		t.Errorf("life %v, open %v, want the new one and open", b.gate.life, b.gate.Open(b.now))
 	}
 }
 
-// A word that does not tell which life it is of is not believed while lives tell it.
+// A message that does not identify its incarnation is not trusted if the target's incarnations
+// can be identified.
 func TestWordsThatDoNotTellTheLife(t *testing.T) {
 	b := newRestartBench(t)
 	name := testRun("aa", 0, 1)
@@ -397,26 +395,26 @@
 	b.states()
 	untold := Life{ID: firstLife.ID}
 	if _, believed := b.gate.OnHeartbeat(b.now, b.heartbeatOf(untold, 99, true)); believed {
-		t.Error("a heartbeat is believed")
+		t.Error("a heartbeat is trusted")
 	}
 	if a := b.gate.OnDeregister(b.now, untold); !a.HoldNow {
-		t.Error("no call looks whether the target is there after a deregistration")
+		t.Error("no hold is requested after a deregistration")
 	}
 	h := b.gate.NextHold(b.now, 0)
 	b.now += time.Millisecond
 	lists := HoldAnswer{Finished: []Ended{{Number: 6, Name: name, Kind: EndDone}}}
 	b.gate.OnHold(b.now, h, Answer{ClockMS: b.targetClock()}, lists, nil)
 	if s, told := b.states()[name]; told || !b.open() || b.gate.life != firstLife {
-		t.Errorf("told %v %+v, open %v, life %v", told, s, b.open(), b.gate.life)
+		t.Errorf("reported %v %+v, open %v, life %v", told, s, b.open(), b.gate.life)
 	}
 	b.answer(working(name))
 	if h := b.answer(working(name)); h.Call.Seen != 5 {
-		t.Errorf("noted up to %d, want 5", h.Call.Seen)
+		t.Errorf("acknowledged up to %d, want 5", h.Call.Seen)
 	}
 }
 
-// An end that was told but not noted when the target started again is told until its owner
-// has judged it, and is forgotten then.
+// An end that was reported but not acknowledged before the restart is reported until its owner
+// has accepted or discarded it.
 func TestRestartBeforeEndIsNoted(t *testing.T) {
 	for _, kind := range []VerdictKind{VerdictNote, VerdictDiscard} {
 		b := newRestartBench(t)
@@ -428,7 +426,7 @@
 		b.answer(HoldAnswer{})
 		b.beat(false)
 		if s := b.states()[name]; s.End != EndDone {
-			t.Errorf("told %+v, want the run done", s)
+			t.Errorf("reported %+v, want the run done", s)
 		}
 		b.verdict(name, kind)
 		if b.gate.HasRuns(testOwner) || b.gate.Lapsing() || !b.open() {
@@ -437,7 +435,7 @@
 	}
 }
 
-// Runs that wait go back to their owners: the newer life may be of another kind.
+// Queued runs are returned to their owners, since the new incarnation may be of another kind.
 func TestRestartGivesQueueBack(t *testing.T) {
 	b := newRestartBench(t)
 	b.startRun(testRun("aa", 0, 1))
@@ -447,11 +445,12 @@
 	b.restart(secondLife, behindClockAt)
 	b.answer(HoldAnswer{})
 	if s := b.states()[waiting.Name]; s.End != EndRejected {
-		t.Errorf("told %+v of the run that waits, want it back", s)
+		t.Errorf("reported %+v of the run that waits, want it returned", s)
 	}
 }
 
-// Two restarts between two words, and one of another target within the same millisecond.
+// Two restarts happen between two answers, the second one also under another id but with the
+// same start time.
 func TestRestartTwice(t *testing.T) {
 	for _, last := range []Life{thirdLife, {ID: "i-2", Born: firstLife.Born}} {
 		b := newRestartBench(t)
@@ -473,7 +472,7 @@
 		b.answer(HoldAnswer{})
 		b.answer(HoldAnswer{})
 		if s := b.states()[name]; s.End != EndLost {
-			t.Errorf("told %+v, want the run lost", s)
+			t.Errorf("reported %+v, want the run lost", s)
 		}
 		if b.gate.life != last || !b.open() {
 			t.Errorf("life %v, open %v, want %v and open", b.gate.life, b.open(), last)
@@ -481,8 +480,8 @@
 	}
 }
 
-// The newer life answers nothing after its heartbeat: what may have been carried out there
-// counts as over once its lease is.
+// If the new incarnation never answers, runs that it may have carried out count as over once
+// their lease has expired.
 func TestRestartIntoSilence(t *testing.T) {
 	b := newRestartBench(t)
 	name := testRun("aa", 0, 1)
@@ -491,22 +490,22 @@
 	b.states()
 	b.restart(secondLife, behindClockAt)
 	b.answer(HoldAnswer{})
-	for begun := b.now; b.now-begun < 1500*time.Millisecond; b.now += tickPause {
+	for begun := b.now; b.now-begun < 1500*time.Millisecond; b.now += tickInterval {
 		b.gate.Tick(b.now)
 		if b.now-begun > time.Second {
 			continue
 		}
 		if s, told := b.states()[name]; told {
-			t.Errorf("told %+v %v after the restart", s, b.now-begun)
+			t.Errorf("reported %+v %v after the backoffart", s, b.now-begun)
 		}
 	}
 	if s := b.states()[name]; s.End != EndLost {
-		t.Errorf("told %+v, want the run lost", s)
+		t.Errorf("reported %+v, want the run lost", s)
 	}
 }
 
-// An agent that starts beside a life which it has not met goes by no description of a
-// former one, nor by one that does not tell its life.
+// A new process of the gate does not apply a stored description of a previous incarnation, nor
+// one that does not identify its incarnation.
 func TestRecallOfFormerLife(t *testing.T) {
 	for _, life := range []Life{firstLife, {ID: firstLife.ID}} {
 		b := newRestartBench(t)
@@ -517,18 +516,18 @@
 			b.answer(HoldAnswer{})
 		}
 		if d, known := b.gate.Description(); known {
-			t.Errorf("described as %+v by what was known of %v", d, life)
+			t.Errorf("described as %+v by a description of %v", d, life)
 		}
 		b.beat(false)
 		b.answer(HoldAnswer{})
 		if !b.gate.Open(b.now) {
-			t.Error("closed to the newer life")
+			t.Error("closed to the new incarnation")
 		}
 	}
 }
 
-// A heartbeat of the life that is known names a service that is not the target's: it is
-// another writer's. The ones before and after hold, whichever comes last.
+// A heartbeat that names another service is ignored, also as the first one; earlier and later
+// ones count.
 func TestHeartbeatOfOtherService(t *testing.T) {
 	b := newRestartBench(t)
 	b.gate.options.Service = "engine"
@@ -542,16 +541,16 @@
 		t.Errorf("open %v, described as %+v", b.open(), d)
 	}
 	if !b.beat(true) || b.open() {
-		t.Error("the next good heartbeat is passed over")
+		t.Error("the next valid heartbeat is skipped")
 	}
-	// The first word that a new process of the gate hears.
+	// The first heartbeat that a new process of the gate receives.
 	b.gate = New(b.gate.options)
 	if _, believed := b.gate.OnHeartbeat(b.now, bad); believed {
-		t.Error("believed as the first word")
+		t.Error("trusted as the first heartbeat")
 	}
 }
 
-// The clock that a heartbeat tells ends no lease: only the target's own answers do.
+// The clock in a heartbeat does not expire a lease; only the target's answers do.
 func TestClockOfHeartbeatEndsNoLease(t *testing.T) {
 	b := newRestartBench(t)
 	name := testRun("aa", 0, 1)
@@ -561,14 +560,14 @@
 	bad := b.heartbeatOf(firstLife, 1_000_000, false)
 	bad.ClockMS = 1 << 50
 	b.gate.OnHeartbeat(b.now, bad)
-	b.now += 800 * time.Millisecond // Beyond the patience with holds.
+	b.now += 800 * time.Millisecond // Exceeds maxHoldSilence.
 	b.gate.Tick(b.now)
 	if s, told := b.states()[name]; told {
-		t.Errorf("told %+v", s)
+		t.Errorf("reported %+v", s)
 	}
 }
 
-// A list of which not all can be read ends no run by what it leaves out; one that can does.
+// A run missing from a partial list is not ended; one missing from a complete list is.
 func TestPartialListEndsNoRun(t *testing.T) {
 	b := newRestartBench(t)
 	name := testRun("aa", 0, 1)
@@ -577,30 +576,30 @@
 	b.states()
 	b.answer(HoldAnswer{Partial: true})
 	if s, told := b.states()[name]; told {
-		t.Errorf("told %+v", s)
+		t.Errorf("reported %+v", s)
 	}
 	b.answer(HoldAnswer{})
 	if s := b.states()[name]; s.End != EndLost {
-		t.Errorf("told %+v, want the run lost", s)
+		t.Errorf("reported %+v, want the run lost", s)
 	}
 }
 
-// An end of a run that nobody knows holds up none of those after it.
+// An end without a run's name does not block those after it.
 func TestEndOfUnknownRun(t *testing.T) {
 	b := newRestartBench(t)
 	name := testRun("aa", 0, 1)
 	b.startRun(name)
 	b.answer(HoldAnswer{Finished: []Ended{{Number: 6, Kind: EndLost}, {Number: 7, Name: name, Kind: EndDone}}})
 	if s := b.states()[name]; s.End != EndDone {
-		t.Errorf("told %+v, want the run done", s)
+		t.Errorf("reported %+v, want the run done", s)
 	}
 	b.verdict(name, VerdictNote)
 	if h := b.answer(HoldAnswer{}); h.Call.Seen != 7 || b.gate.HasRuns(testOwner) {
-		t.Errorf("noted up to %d, run known %v", h.Call.Seen, b.gate.HasRuns(testOwner))
+		t.Errorf("acknowledged up to %d, run known %v", h.Call.Seen, b.gate.HasRuns(testOwner))
 	}
 }
 
-// What made the former life suspect says nothing of the newer one.
+// The new incarnation is not suspect because of the previous one's failures.
 func TestRestartEndsSuspicion(t *testing.T) {
 	b := newRestartBench(t)
 	for i, id := range []job.ID{"aa", "bb", "cc"} {
@@ -618,8 +617,8 @@
 	b.startRun(testRun("dd", 0, 1))
 }
 
-// The former life's answer to a stop comes late: the run that the newer one has is not
-// stopped by it, and the newer clock stays what it is.
+// A late answer of the previous incarnation to a stop neither confirms a stop of the new
+// incarnation's run nor changes its clock.
 func TestRestartThenLateAnswerToStop(t *testing.T) {
 	b := newRestartBench(t)
 	name := testRun("aa", 0, 1)
@@ -640,26 +639,21 @@
 	}
 }
 
-// A target says that it leaves; a heartbeat that it sent after that arrives first. The one
-// that was overtaken is acknowledged, so it counts.
+// Draining counts even if a heartbeat sent later arrives first, because the overtaken heartbeat
+// is acknowledged.
 func TestOvertakenDraining(t *testing.T) {
 	b := newRestartBench(t)
 	leaving := b.heartbeatOf(firstLife, b.sequence+1, true)
 	b.sequence++
 	b.beat(false)
 	if _, believed := b.gate.OnHeartbeat(b.now, leaving); !believed || b.open() {
-		t.Errorf("believed %v, open %v", believed, b.open())
+		t.Errorf("trusted %v, open %v", believed, b.open())
 	}
 }
 
-// Symptom: a kept task began again after a newer life had run it to its end, which was done and
-// noted there, unheard.
-//
-// Sequence: a hold waits at the former life as that crashes. The newer one carries out a late
-// start, whose run ends. An owner's word that an earlier end is durable brings a hold beside the
-// one that waits.
-//
-// Cause: that hold named the former life's noted ends, since no call had failed yet.
+// A hold sent beside a waiting one acknowledges no ends if the last answer is too old: the
+// target may have restarted, and the new incarnation would drop an unreported end of a late
+// start.
 func TestHoldBesideWaitingOneNotesNothing(t *testing.T) {
 	b := newRestartBench(t)
 	name := testRun("aa", 0, 1)
@@ -671,12 +665,12 @@
 	b.verdict(name, VerdictNote)
 	beside := b.gate.NextHold(b.now, 0)
 	if beside.Call.Seen != 0 {
-		t.Errorf("notes ends up to %d of a life that last answered 80 ms ago, want none", beside.Call.Seen)
+		t.Errorf("acknowledges ends up to %d of an incarnation that last answered 80 ms ago, want none", beside.Call.Seen)
 	}
 }
 
-// An end that could not be noted with the hold beside a waiting one is noted as soon as that is
-// answered.
+// An end that was withheld from a hold beside a waiting one is acknowledged as soon as that
+// hold is answered.
 func TestEndIsNotedOnceTheLifeHasAnswered(t *testing.T) {
 	b := newRestartBench(t)
 	name := testRun("aa", 0, 1)
@@ -688,31 +682,26 @@
 	b.now += time.Millisecond
 	a := b.gate.OnHold(b.now, beside, Answer{ClockMS: b.targetClock(), Life: Life{Born: b.life.Born}}, HoldAnswer{}, nil)
 	if !a.HoldNow {
-		t.Fatal("no hold follows that notes the end")
+		t.Fatal("no hold follows that acknowledges the end")
 	}
 	next := b.answer(HoldAnswer{})
 	if next.Call.Seen != 6 {
-		t.Errorf("notes ends up to %d, want 6", next.Call.Seen)
+		t.Errorf("acknowledges ends up to %d, want 6", next.Call.Seen)
 	}
-	if h := b.gate.NextHold(b.now, 0); b.gate.notesToTell() {
-		t.Errorf("asks for another hold after %d was noted", h.Call.Seen)
+	if h := b.gate.NextHold(b.now, 0); b.gate.hasUnsentAcks() {
+		t.Errorf("asks for another hold after %d was acknowledged", h.Call.Seen)
 	}
 }
 
-// Symptom: two runs of a task at one time for 0.4 s, where the platform allows leases of 15 s.
-//
-// Sequence: a hold that is meant for the former life reaches the newer one, whose clock is behind:
-// it gets a lease of seconds. The target is then not heard of for longer than the gate leases.
-//
-// Cause: the lease counted as over by what the gate had asked of the newer life. The runs counted
-// as over with it and were started elsewhere.
+// If a hold meant for the previous incarnation reaches a new one whose clock is behind, that is
+// granted a long lease. Its runs count as over only after that lease has expired.
 func TestLeaseByFormerClock(t *testing.T) {
 	const longest = 15 * time.Second
 	tests := []struct {
 		name    string
 		longest time.Duration
 		clockAt int64
-		// over is when the runs count as over after the target's last word at the latest.
+		// over is when the runs count as over at the latest, after the target's last answer.
 		over time.Duration
 	}{
 		{name: "clock behind, long leases", longest: longest, clockAt: behindClockAt, over: longest},
@@ -739,7 +728,7 @@
 				return r == nil || r.phase == phaseEnded
 			}
 			if lost(test.over) {
-				t.Errorf("the run counts as over %v after the target's last word; its lease may hold", test.over)
+				t.Errorf("the run counts as over %v after the target's last answer; its lease may be valid", test.over)
 			}
 			if !lost(test.over*110/100 + lapseMargin + 100*time.Millisecond) {
 				t.Error("the run never counts as over")
--- a/gate/retry.go
+++ b/gate/retry.go
@@ -6,80 +6,77 @@
 	"time"
 )
 
-// Bounds of sending an order again.
+// Parameters for retrying an order.
 const (
-	// mostTries is how many times an order is sent at most: with half of all
-	// calls unanswered one order in 256 is left in doubt.
-	mostTries = 8
-	// triesInSilence is how many times it is sent while the executor answers
-	// nothing at all: three in a row are lost by chance only where calls mostly are.
-	triesInSilence = 3
-	// freshTry is the try that is made over a new connection: the first two may have
-	// been sent over connections that have gone silent.
-	freshTry = 3
-	// orderTimeout is how long an order may go unanswered before the gate looks
-	// for what became of it.
+	// maxTries is how often an order is sent at most. Even if half of all calls go unanswered,
+	// few orders remain unresolved.
+	maxTries = 8
+	// maxUnansweredTries is the limit while the target answers no call at all.
+	maxUnansweredTries = 3
+	// newConnectionTry is the try that uses a new connection: the connections of the earlier
+	// ones may be dead.
+	newConnectionTry = 3
+	// orderTimeout is how long an order may go unanswered before the gate checks with a hold
+	// what became of it.
 	orderTimeout = 60 * time.Millisecond
-	// lateAnswer is how long the other tries of an order are left alone once it
-	// is decided, and a hold that is no longer waited for: breaking off one that is
-	// answered a moment later would cost its connection.
-	lateAnswer = mostRTO
+	// lateAnswerWait is how long the other tries of a resolved order, and abandoned holds, may
+	// continue. Cancelling a call closes its connection, and most are answered shortly after.
+	lateAnswerWait = maxRTO
 )
 
-// retriedCall is a start or a stop that is sent again while it stays without an answer.
-// This is safe: an executor takes a second start of the same run for the first,
-// and one that is carried out late is past its lease.
+// retriedCall is a start or a stop that is sent again until it is answered. This is safe: a
+// target treats a second start of the same run as a duplicate, and a start that is carried out
+// late has an expired lease.
 type retriedCall struct {
 	call    func(ctx context.Context) (Answer, error)
 	rto     *rtoEstimator
 	began   time.Time
 	answers chan try
 	tries   int
-	// open is how many tries have neither an answer nor an error, lost how many ended
-	// without an answer.
+	// open counts the tries in flight, lost those that ended without an answer.
 	open, lost int
 }
 
-// try is what became of one try of an order.
+// try is the result of one try.
 type try struct {
 	answer Answer
 	err    error
 }
 
-// newRetriedCall returns a call that was not sent yet.
+// newRetriedCall returns a call that has not been sent yet.
 func newRetriedCall(e *rtoEstimator, call func(ctx context.Context) (Answer, error)) *retriedCall {
-	return &retriedCall{call: call, rto: e, began: time.Now(), answers: make(chan try, mostTries)}
+	return &retriedCall{call: call, rto: e, began: time.Now(), answers: make(chan try, maxTries)}
 }
 
-// run sends the call until it is decided. ErrUnanswered says that it may have
-// been done, or may be done later.
+// run sends the call until it is resolved. ErrUnanswered means that it may have been carried
+// out, or may be carried out later.
 func (c *retriedCall) run(ctx context.Context) (Answer, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	defer c.breakOff(cancel)
+	defer c.cancelOpen(cancel)
 	timeout := time.NewTimer(orderTimeout)
 	defer timeout.Stop()
 	for {
 		c.send(ctx)
-		again, t := c.await(ctx, timeout.C)
-		if !again {
+		resend, t := c.await(ctx, timeout.C)
+		if !resend {
 			return t.answer, t.err
 		}
 	}
 }
 
-// breakOff ends the tries that are open. An order whose only try was answered needs
-// no timer: each that fires is a wake-up of the process.
-func (c *retriedCall) breakOff(cancel context.CancelFunc) {
+// cancelOpen cancels the tries in flight. Without any, no timer is needed, which saves a
+// wake-up of the process per order.
+func (c *retriedCall) cancelOpen(cancel context.CancelFunc) {
 	if c.open == 0 {
 		cancel()
 		return
 	}
-	time.AfterFunc(lateAnswer, cancel)
+	time.AfterFunc(lateAnswerWait, cancel)
 }
 
 func (c *retriedCall) send(ctx context.Context) {
 	c.tries++
-	if c.tries == freshTry {
+	if c.tries == newConnectionTry {
 		ctx = OnNewConnection(ctx)
 	}
 	c.open++
@@ -93,16 +90,16 @@
 	}()
 }
 
-// mayComeLate says whether a try that was sent got no answer: it may be carried out later.
+// mayComeLate reports whether a try was not answered, so that it may be carried out later.
 func (c *retriedCall) mayComeLate() bool { return c.open+c.lost > 0 }
 
-// answered says whether an executor has answered a call.
+// answered reports whether the target has answered the call that returned err.
 func answered(err error) bool {
 	return !errors.Is(err, ErrUnanswered) && !errors.Is(err, ErrUnreached)
 }
 
-// await waits until the call is decided or is to be sent again.
-func (c *retriedCall) await(ctx context.Context, timeout <-chan time.Time) (again bool, t try) {
+// await waits until the call is resolved or has to be sent again.
+func (c *retriedCall) await(ctx context.Context, timeout <-chan time.Time) (resend bool, t try) {
 	due := time.NewTimer(c.rto.timeout())
 	defer due.Stop()
 	for {
@@ -134,9 +131,9 @@
 	}
 }
 
-// decided returns the outcome by an answer. If an earlier try got none, only
-// success is certain: after any other answer the earlier one may still have been
-// done, or be done later.
+// decided returns the result of an answered call. If an earlier try was not answered, only
+// success is certain: after any other answer the earlier try may have been carried out, or may
+// be later.
 func (c *retriedCall) decided(t try) try {
 	if t.err == nil || c.tries == 1 {
 		return t
@@ -144,10 +141,10 @@
 	return try{answer: t.answer, err: ErrUnanswered}
 }
 
-// mayResend says whether another try is of use.
+// mayResend reports whether the call may be sent again.
 func (c *retriedCall) mayResend() bool {
-	if c.tries < triesInSilence {
+	if c.tries < maxUnansweredTries {
 		return true
 	}
-	return c.tries < mostTries && c.rto.answeredSince(c.began)
+	return c.tries < maxTries && c.rto.answeredSince(c.began)
 }
--- a/gate/retry_test.go
+++ b/gate/retry_test.go
@@ -13,20 +13,20 @@
 	"rackspur/internal/wait"
 )
 
-// hangs is a call that never gets an answer.
+// hangs is a call that is never answered.
 func hangs(ctx context.Context) (Answer, error) {
 	<-ctx.Done()
 	return Answer{}, ErrUnanswered
 }
 
-// answers is a call that is answered at once.
+// answers returns a call that is answered at once.
 func answers(err error) func(context.Context) (Answer, error) {
 	return func(context.Context) (Answer, error) { return Answer{ClockMS: 7}, err }
 }
 
-// An order whose first tries get no answer is sent again; what a later answer
-// says about it counts only as far as it covers the earlier tries. Time is virtual: on a
-// machine with three runnable threads a core a try of 8 ms of the real clock was late.
+// An order whose first tries are not answered is sent again. A later answer counts only if it
+// also settles the earlier tries. Time is virtual, since the tries are too short for a busy
+// box.
 func TestOrderSentAgain(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -40,8 +40,8 @@
 		{name: "second answered", tries: []func(context.Context) (Answer, error){hangs, answers(nil)}, sent: 2},
 		{name: "second refused, first may be done", tries: []func(context.Context) (Answer, error){hangs, answers(ErrNoRoom)}, want: ErrUnanswered, sent: 2},
 		{name: "second not reached, third answered", tries: []func(context.Context) (Answer, error){hangs, answers(ErrUnreached), answers(nil)}, sent: 3},
-		{name: "broken off, then answered", tries: []func(context.Context) (Answer, error){answers(ErrUnanswered), answers(nil)}, sent: 2},
-		{name: "silence", tries: []func(context.Context) (Answer, error){hangs, hangs, hangs, hangs}, want: ErrUnanswered, sent: triesInSilence},
+		{name: "ended unanswered, then answered", tries: []func(context.Context) (Answer, error){answers(ErrUnanswered), answers(nil)}, sent: 2},
+		{name: "silence", tries: []func(context.Context) (Answer, error){hangs, hangs, hangs, hangs}, want: ErrUnanswered, sent: maxUnansweredTries},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -61,19 +61,19 @@
 	}
 }
 
-// While other calls are answered an order is sent more often than in silence. Time is virtual.
+// While other calls are answered, an order is retried more often. Time is virtual.
 func TestOrderSentMoreOftenBesideAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &rtoEstimator{}
 		e.answered(time.Microsecond)
 		var sent atomic.Int32
 		c := newRetriedCall(e, func(ctx context.Context) (Answer, error) {
-			if sent.Add(1) == triesInSilence+2 {
+			if sent.Add(1) == maxUnansweredTries+2 {
 				return Answer{}, nil
 			}
-			// Another call is answered a moment later.
+			// Another call is answered.
 			wait.For(ctx, time.Millisecond)
-			e.heard()
+			e.answeredUntimed()
 			return hangs(ctx)
 		})
 		if _, err := c.run(t.Context()); err != nil {
@@ -82,37 +82,37 @@
 	})
 }
 
-// The wait for an answer follows the times that answers take, within its bounds.
+// The timeout follows the observed latencies within its bounds.
 func TestRTO(t *testing.T) {
 	e := &rtoEstimator{}
-	if e.timeout() != mostRTO {
+	if e.timeout() != maxRTO {
 		t.Errorf("%v before the first answer", e.timeout())
 	}
 	for range 50 {
 		e.answered(time.Millisecond)
 	}
-	if e.timeout() != leastRTO {
+	if e.timeout() != minRTO {
 		t.Errorf("%v for quick answers", e.timeout())
 	}
 	for range 50 {
 		e.answered(12 * time.Millisecond)
 	}
-	if w := e.timeout(); w < 12*time.Millisecond || w > mostRTO {
+	if w := e.timeout(); w < 12*time.Millisecond || w > maxRTO {
 		t.Errorf("%v for answers in 12 ms", w)
 	}
 	for range 50 {
 		e.answered(time.Second)
 	}
-	if e.timeout() != mostRTO {
+	if e.timeout() != maxRTO {
 		t.Errorf("%v for slow answers", e.timeout())
 	}
 }
 
-// lossyHolds answers every second hold only.
+// lossyHolds answers only every second hold.
 type lossyHolds struct {
 	hangingExecutor
 	holds atomic.Int32
-	// longest is the most holds that were under way at once.
+	// longest is the maximum number of holds in flight.
 	underWay, longest atomic.Int32
 }
 
@@ -127,8 +127,8 @@
 	return e.answer(), HoldAnswer{}, nil
 }
 
-// A hold without an answer is broken off once a later one is answered, so that it
-// does not take the place of the next.
+// An unanswered hold is abandoned once a later one is answered, so that it does not use up the
+// limit.
 func TestOverdueHoldIsBrokenOff(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -141,13 +141,13 @@
 	for e.holds.Load() < 20 && time.Now().Before(until) {
 		<-time.After(time.Millisecond)
 	}
-	if e.holds.Load() < 20 || e.longest.Load() >= mostHolds {
+	if e.holds.Load() < 20 || e.longest.Load() >= maxHolds {
 		t.Errorf("%d holds, %d at once", e.holds.Load(), e.longest.Load())
 	}
 }
 
-// An order whose only try was answered leaves no timer behind; one with open tries
-// gives these the time for a late answer. Time is virtual.
+// An order with a single, answered try leaves no timer behind. Open tries of an order get time
+// for a late answer. Time is virtual.
 func TestOrderLeavesNoTimer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		contexts := make(chan context.Context, 2)
@@ -162,12 +162,12 @@
 		open := <-contexts
 		<-contexts
 		if open.Err() != nil {
-			t.Error("the open try was broken off at once")
+			t.Error("the open try was cancelled at once")
 		}
 		answered := time.Now()
 		<-open.Done()
-		if passed := time.Since(answered); passed != lateAnswer {
-			t.Errorf("the open try went on for %v, want %v", passed, lateAnswer)
+		if passed := time.Since(answered); passed != lateAnswerWait {
+			t.Errorf("the open try went on for %v, want %v", passed, lateAnswerWait)
 		}
 		second := newRetriedCall(&rtoEstimator{}, func(ctx context.Context) (Answer, error) {
 			contexts <- ctx
@@ -180,7 +180,8 @@
 	})
 }
 
-// An order that is answered over a new connection only is done all the same. Time is virtual.
+// An order is carried out even if only calls over a new connection are answered. Time is
+// virtual.
 func TestOrderOverNewConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &rtoEstimator{}
@@ -197,8 +198,7 @@
 	})
 }
 
-// lateHolds answers some holds later than is waited for, and counts those whose call was ended
-// before.
+// lateHolds answers some holds after their timeout, and counts those cancelled before.
 type lateHolds struct {
 	hangingExecutor
 	holds, ended atomic.Int32
@@ -207,7 +207,7 @@
 func (e *lateHolds) Hold(ctx context.Context, _ Life, c HoldCall) (Answer, HoldAnswer, error) {
 	takes := time.Duration(c.WaitMS) * time.Millisecond
 	if e.holds.Add(1)%10 == 0 {
-		takes += mostRTO + lateAnswer/2
+		takes += maxRTO + lateAnswerWait/2
 	}
 	wait.For(ctx, takes)
 	if ctx.Err() != nil {
@@ -217,9 +217,8 @@
 	return e.answer(), HoldAnswer{}, nil
 }
 
-// A hold that is answered some milliseconds late keeps its connection: another was sent beside
-// it and was answered first. Ended there and then, 160 of 187 new connections to 12 targets in
-// 50 s came of that ("age 2910 ms idle 164 reads 20"). Time is virtual.
+// A hold that is answered slightly late is not cancelled when a parallel one is answered first,
+// since that would close its connection. Time is virtual.
 func TestLateHoldKeepsItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/gate/rto.go
+++ b/gate/rto.go
@@ -5,24 +5,22 @@
 	"time"
 )
 
-// Bounds of the time after which a call to an executor counts as unanswered.
+// Parameters of the retransmission timeout.
 const (
-	// leastRTO and mostRTO bound that time. An executor is on the
-	// gate's own machine: 99 of 100 starts are answered within 17 ms, half of
-	// them within 2 ms (journal c5c04998).
-	leastRTO = 8 * time.Millisecond
-	mostRTO  = 30 * time.Millisecond
-	// latencyWeight and deviationWeight are the weights of a new time in the
-	// smoothed time to an answer and in its deviation, and deviations how many
-	// deviations beyond it are waited: the figures of TCP's retransmission timer
-	// (RFC 6298).
+	// minRTO and maxRTO bound the timeout. The target is on the gate's own box and usually
+	// answers within a few milliseconds.
+	minRTO = 8 * time.Millisecond
+	maxRTO = 30 * time.Millisecond
+	// latencyWeight and deviationWeight are the weights of a new sample in the smoothed latency
+	// and its deviation, and rtoDeviations is the number of deviations added to the latency, as
+	// in TCP (RFC 6298).
 	latencyWeight   = 1.0 / 8
 	deviationWeight = 1.0 / 4
-	deviations      = 4
+	rtoDeviations   = 4
 )
 
-// rtoEstimator learns from answers after what time a call should be sent again: the
-// retransmission timeout. It is safe for concurrent use.
+// rtoEstimator computes the retransmission timeout from the observed latencies. It is safe for
+// concurrent use.
 type rtoEstimator struct {
 	mu         sync.Mutex
 	smoothed   time.Duration
@@ -30,8 +28,7 @@
 	answeredAt time.Time
 }
 
-// answered takes in the time that an answer took beyond what the call allowed the
-// executor to wait.
+// answered records the latency of an answer, not counting the wait that the call allowed.
 func (e *rtoEstimator) answered(took time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -44,24 +41,24 @@
 	e.smoothed += time.Duration(latencyWeight * float64(took-e.smoothed))
 }
 
-// heard takes in an answer that tells nothing of the time that it took.
-func (e *rtoEstimator) heard() {
+// answeredUntimed records an answer without a latency sample.
+func (e *rtoEstimator) answeredUntimed() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.answeredAt = time.Now()
 }
 
-// timeout returns how long to wait for an answer before the call is sent again.
+// timeout returns how long to wait for an answer before sending the call again.
 func (e *rtoEstimator) timeout() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.smoothed == 0 {
-		return mostRTO
+		return maxRTO
 	}
-	return min(max(e.smoothed+deviations*e.deviation, leastRTO), mostRTO)
+	return min(max(e.smoothed+rtoDeviations*e.deviation, minRTO), maxRTO)
 }
 
-// answeredSince says whether any call was answered after a time.
+// answeredSince reports whether any call was answered after t.
 func (e *rtoEstimator) answeredSince(t time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/gate/silence.go
+++ b/gate/silence.go
@@ -2,38 +2,38 @@
 
 import "errors"
 
-// silentAfter is how long an executor may answer no call at all before its gate
-// takes no more orders: twice the longest wait of a hold, so that one lost answer
-// is not taken for silence.
+// silentAfter is how long a target may answer no call before its gate stops accepting orders.
+// It is twice the longest wait of a hold, so that a single lost answer does not count as
+// silence.
 const silentAfter = 2 * holdWait
 
-// takeAnswer takes in what came of a call, whatever was asked.
-func (g *Gate) takeAnswer(now Time, a Answer, err error) {
-	g.takeClock(now, a.ClockMS)
+// recordAnswer records the result of any call.
+func (g *Gate) recordAnswer(now Time, a Answer, err error) {
+	g.updateClock(now, a.ClockMS)
 	switch {
 	case answered(err):
-		g.answeredNow(now)
+		g.recordContact(now)
 	case errors.Is(err, ErrUnreached):
-		g.unreached = true
+		g.unreachable = true
 	}
 }
 
-// answeredNow takes in that the target has answered a call.
-func (g *Gate) answeredNow(now Time) {
-	g.heard = now
-	g.unreached = false
+// recordContact records that the target has answered a call.
+func (g *Gate) recordContact(now Time) {
+	g.lastAnswer = now
+	g.unreachable = false
 }
 
-// targetSilent says whether the target is gone, cut off or stopped, as far as
-// the gate can tell. What is sent to it then would only wait for its lease.
+// targetSilent reports whether the target appears to be down or unreachable. Orders sent to it
+// would only wait for their lease to expire.
 func (g *Gate) targetSilent(now Time) bool {
-	return g.unreached || now-g.heard > silentAfter
+	return g.unreachable || now-g.lastAnswer > silentAfter
 }
 
-// tellOpen tells the owners at once when the gate has opened or closed.
-func (g *Gate) tellOpen(now Time) {
-	if open := g.Open(now); open != g.toldOpen {
-		g.toldOpen = open
-		g.tellAll()
+// reportOpen sends a report at once when the gate has opened or closed.
+func (g *Gate) reportOpen(now Time) {
+	if open := g.Open(now); open != g.reportedOpen {
+		g.reportedOpen = open
+		g.reportChanged()
 	}
 }
--- a/gate/silence_test.go
+++ b/gate/silence_test.go
@@ -7,12 +7,12 @@
 	"rackspur/job"
 )
 
-// wide returns an order that takes all of the test executor's room.
+// wide returns an order that takes the whole capacity of the test target.
 func wide(id job.ID) Order {
 	return Order{Name: testRun(id, 0, 1), Need: job.Resources{CPU: 16000}, Estimate: 100 * time.Millisecond, BestEffort: true}
 }
 
-// orderTwo orders the runs a1, which starts, and a2, which waits for its room.
+// orderTwo orders run a1, which starts, and run a2, which is queued.
 func (b *bench) orderTwo() Actions {
 	b.gate.Flush(b.now, testOwner, 1)
 	a, _ := b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, Sequence: 1, Starts: []Order{wide("a1")}})
@@ -20,7 +20,7 @@
 	return a
 }
 
-// ends returns how the runs that the owner was told of have ended.
+// ends returns how the runs reported to the owner have ended.
 func (b *bench) ends() map[job.ID]EndKind {
 	b.t.Helper()
 	f, ok := b.gate.Flush(b.now, testOwner, 1)
@@ -39,30 +39,29 @@
 	return f.Report.Open
 }
 
-// A gate whose executor answers nothing gives its queue back and takes no more
-// orders until the executor answers again.
+// While its target answers nothing, a gate returns its queue and accepts no orders.
 func TestSilentExecutorClosesGate(t *testing.T) {
 	b := newBench(t)
 	b.started(b.orderTwo())
 	b.now += silentAfter + time.Millisecond
 	b.gate.Tick(b.now)
 	if ends := b.ends(); ends["a2"] != EndRejected {
-		t.Errorf("the waiting run was not given back: %v", ends)
+		t.Errorf("the waiting run was not returned: %v", ends)
 	}
 	if b.open() {
-		t.Error("open beside a silent executor")
+		t.Error("open beside a silent target")
 	}
 	b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, Sequence: 3, Starts: []Order{wide("a3")}})
 	if ends := b.ends(); ends["a3"] != EndRejected {
-		t.Errorf("an order was taken: %v", ends)
+		t.Errorf("an order was accepted: %v", ends)
 	}
 	b.hold(HoldAnswer{Running: []Running{{Name: testRun("a1", 0, 1)}}})
 	if !b.open() {
-		t.Error("closed though the executor has answered")
+		t.Error("closed though the target has answered")
 	}
 }
 
-// An executor to which no connection can be made gets no more orders at once.
+// A gate closes as soon as no connection to its target can be established.
 func TestUnreachedExecutorClosesGate(t *testing.T) {
 	b := newBench(t)
 	a := b.orderTwo()
@@ -71,23 +70,19 @@
 		t.Errorf("started %v there", a.Starts[0].Name)
 	}
 	if ends := b.ends(); ends["a1"] != EndRejected || ends["a2"] != EndRejected {
-		t.Errorf("runs were not given back: %v", ends)
+		t.Errorf("runs were not returned: %v", ends)
 	}
 	if b.open() {
-		t.Error("open though the executor can't be reached")
+		t.Error("open though the target can't be reached")
 	}
 	b.hold(HoldAnswer{})
 	if !b.open() {
-		t.Error("closed though the executor has answered")
+		t.Error("closed though the target has answered")
 	}
 }
 
-// Symptom: runs of owners in touch are stopped.
-//
-// Sequence: the gate itself stands still for a time and wakes; its owners' frames wait to
-// be read.
-//
-// Cause: it looked for silent owners first. The lease bounds the runs meanwhile.
+// After its process was suspended, a gate reads the waiting frames of its owners before it
+// stops runs of silent ones.
 func TestGateThatWokeReadsFramesFirst(t *testing.T) {
 	b := newBench(t)
 	name := testRun("aa", 0, 1)
@@ -95,7 +90,7 @@
 	b.hold(working(name))
 	b.now += 200 * time.Millisecond
 	b.gate.Tick(b.now)
-	b.now += 680 * time.Millisecond // It stands still; its lease holds.
+	b.now += 680 * time.Millisecond // The process is suspended; the lease stays valid.
 	if a := b.gate.Tick(b.now); len(a.Stops) != 0 {
 		t.Errorf("stopped %+v before the owner's frames could be read", a.Stops)
 	}
--- a/gate/start.go
+++ b/gate/start.go
@@ -4,10 +4,10 @@
 	"errors"
 )
 
-// startFromQueue starts what fits, in the order of rank.
+// startFromQueue starts as many queued runs as fit, in order of rank.
 func (g *Gate) startFromQueue(now Time, a Actions) Actions {
 	a.Life = g.life
-	g.tellOpen(now)
+	g.reportOpen(now)
 	if !g.Open(now) || !g.life.named() {
 		g.rejectQueue("closed")
 		return a
@@ -15,7 +15,7 @@
 	var aside []*run
 	for r := g.queue.first(); r != nil; r = g.queue.first() {
 		next := g.nextStep(now, r)
-		if next == stepWaitAll {
+		if next == stepBlocked {
 			break
 		}
 		g.queue.pop()
@@ -34,21 +34,21 @@
 	return a
 }
 
-// startStep is what to do with the run that is next in the queue.
+// startStep says how to handle the run at the head of the queue.
 type startStep int
 
 const (
 	stepStart startStep = iota
-	// stepSetAside: the run waits although there may be room for it; those after it don't
-	// wait for it.
+	// stepSetAside: the run must wait for a reason of its own and does not block those behind
+	// it.
 	stepSetAside
 	// stepReject: the run's owner is out of contact.
 	stepReject
-	// stepWaitAll: nothing can start now.
-	stepWaitAll
+	// stepBlocked: no run can start now.
+	stepBlocked
 )
 
-// nextStep says what to do with the run that is next in the queue.
+// nextStep decides how to handle the run at the head of the queue.
 func (g *Gate) nextStep(now Time, r *run) startStep {
 	switch {
 	case g.olderRunAtWork(r) || !g.leaseAllowsStart(now, r):
@@ -56,15 +56,15 @@
 	case g.ownerSilent(now, r):
 		return stepReject
 	case g.leaseShort(now) || now < g.fullUntil || !g.health.mayStart(now):
-		return stepWaitAll
+		return stepBlocked
 	case !g.capacity.Minus(g.used).Fits(r.need):
-		return stepWaitAll
+		return stepBlocked
 	}
 	return stepStart
 }
 
-// olderRunAtWork says whether another run of the same task is at work here: of an owner
-// that had the job before, or one that is being stopped.
+// olderRunAtWork reports whether another run of the same task is active here: one of a previous
+// owner of the job, or one that is being stopped.
 func (g *Gate) olderRunAtWork(r *run) bool {
 	for name, other := range g.runs {
 		if name.TaskName == r.TaskName && other != r && other.atWork() {
@@ -86,9 +86,9 @@
 	return StartCall{Name: r.RunName, Spec: r.spec, Need: r.need, Checkpoint: r.checkpoint, UntilMS: r.untilMS, Fence: g.fence}
 }
 
-// hasUnclaimed says whether runs of an earlier process are there whose owners,
-// and so their needs, are not known yet.
-func (g *Gate) hasUnclaimed() bool {
+// hasUnclaimedRuns reports whether there are active runs of an earlier process that no owner
+// has claimed, so that their resource needs are unknown.
+func (g *Gate) hasUnclaimedRuns() bool {
 	for _, r := range g.runs {
 		if r.owner == "" && r.phase != phaseEnded {
 			return true
@@ -97,60 +97,60 @@
 	return false
 }
 
-// atWork says whether a run was started and is not over.
+// atWork reports whether a run was started and has not ended.
 func (r *run) atWork() bool {
 	return r.phase != phaseQueued && r.phase != phaseEnded
 }
 
-// release gives back the room of a run that is over.
+// release frees the resources of a run that is ending.
 func (g *Gate) release(r *run) {
 	if r.atWork() {
 		g.used = g.used.Minus(r.need)
 	}
 }
 
-// OnStart takes in the answer to a start.
+// OnStart handles the answer to a start.
 func (g *Gate) OnStart(now Time, life Life, c StartCall, ans Answer, err error) Actions {
 	r := g.runs[c.Name]
 	if life != g.life || r == nil || r.phase != phaseStarting {
 		return Actions{}
 	}
-	g.takeAnswer(now, ans, err)
+	g.recordAnswer(now, ans, err)
 	switch {
 	case err == nil:
 		g.setRunning(now, r)
 		if !r.bestEffort {
-			g.tell(r)
+			g.sendState(r)
 		}
 		return Actions{}
 	case errors.Is(err, ErrUnanswered):
-		r.phase = phaseUnsure
-		r.unsureSince = now
+		r.phase = phaseUnknown
+		r.unknownSince = now
 		return Actions{HoldNow: true}
 	}
 	g.release(r)
-	if errors.Is(err, ErrNoRoom) && g.hasUnclaimed() {
-		// Runs whose needs are not known yet take the room.
+	if errors.Is(err, ErrNoRoom) && g.hasUnclaimedRuns() {
+		// Unclaimed runs, whose needs are unknown, take up the room.
 		r.phase = phaseQueued
 		g.queue.push(r)
 		g.fullUntil = now + fullPause
 		return Actions{}
 	}
 	if errors.Is(err, ErrUnhealthy) {
-		g.health.turnedAway(now)
+		g.health.extendBackoff(now)
 	}
 	g.reject(r, err.Error())
-	g.tellAll()
+	g.reportChanged()
 	return g.startFromQueue(now, Actions{HoldNow: errors.Is(err, ErrFenced)})
 }
 
-// OnStop takes in the answer to a stop.
+// OnStop handles the answer to a stop.
 func (g *Gate) OnStop(now Time, life Life, c StopCall, ans Answer, err error) Actions {
 	r := g.runs[c.Name]
 	if life != g.life || r == nil {
 		return Actions{}
 	}
-	g.takeAnswer(now, ans, err)
+	g.recordAnswer(now, ans, err)
 	if err == nil {
 		r.stopConfirmed = now
 		return Actions{HoldNow: true}
--- a/gate/stop.go
+++ b/gate/stop.go
@@ -1,19 +1,19 @@
 package gate
 
-// StopReason says why a gate stops a run.
+// StopReason is why a gate stops a run.
 type StopReason string
 
-// The reasons for a stop.
+// Reasons for a stop.
 const (
 	StopOrdered     StopReason = "ordered by its owner"
 	StopOwnerSilent StopReason = "no contact with its owner"
-	StopOwnerOver   StopReason = "its owner's life is over"
+	StopOwnerOver   StopReason = "its owner has ended"
 	StopUnclaimed   StopReason = "claimed by no owner"
-	StopDiscarded   StopReason = "its end must not count"
+	StopDiscarded   StopReason = "its end is discarded"
 	StopUnanswered  StopReason = "start unanswered, run not listed"
 )
 
-// overdueReason says why a run that is overdue is stopped.
+// overdueReason returns why an overdue run is stopped.
 func overdueReason(r *run) StopReason {
 	if r.owner == "" {
 		return StopUnclaimed
@@ -21,23 +21,24 @@
 	return StopOwnerSilent
 }
 
-// stopRun has a run stopped; the calls follow with stopWhatMust. From the first stop that
-// somebody counts on, the lease is bounded by what mustEndBy gives then. Nobody counts on
-// the stop of a start that got no answer: its owner waits for the gate's word.
-func (g *Gate) stopRun(now Time, r *run, reason StopReason) {
+// requestStop marks a run to be stopped; sendStops sends the calls. The first stop that
+// somebody depends on fixes the time by which the run has to have ended, and with it the lease.
+// Nobody depends on the stop of an unanswered start: its owner waits for the gate to report the
+// end.
+func (g *Gate) requestStop(now Time, r *run, reason StopReason) {
 	if reason != StopUnanswered {
-		g.fixEnd(r)
+		g.setStopBy(r)
 	}
-	if r.stop {
+	if r.mustStop {
 		return
 	}
-	r.stop = true
+	r.mustStop = true
 	g.record(now, EventStop, r, reason)
 }
 
-// fixEnd keeps when a run that is to be stopped must be over, once; later proofs that its
-// owner lives don't put that off. Of a run without an owner it is not known yet.
-func (g *Gate) fixEnd(r *run) {
+// setStopBy sets, once, when a run that is being stopped must have ended; later contact with
+// its owner does not postpone that. Without a known owner the time is not known yet.
+func (g *Gate) setStopBy(r *run) {
 	if r.stopBy != 0 {
 		return
 	}
@@ -46,14 +47,14 @@
 	}
 }
 
-// stopWhatMust sends the stops that are due.
-func (g *Gate) stopWhatMust(now Time, a Actions) Actions {
+// sendStops sends the stops that are due.
+func (g *Gate) sendStops(now Time, a Actions) Actions {
 	a.Life = g.life
 	for _, r := range g.runs {
-		if !r.atWork() || !r.stop {
+		if !r.atWork() || !r.mustStop {
 			continue
 		}
-		if r.stopSent != 0 && now-r.stopSent < resend {
+		if r.stopSent != 0 && now-r.stopSent < stopInterval {
 			continue
 		}
 		r.stopSent = now
