--- a/gate/candidate.go
+++ b/gate/candidate.go
@@ -12,10 +12,10 @@
 
 // addCandidate keeps a heartbeat of an unknown incarnation until the target's next answer, and
 // requests that answer. If the id is the same, the call carries a new token; see
-// fenceFormerLife.
+// fenceFormerIncarnation.
 func (g *Gate) addCandidate(now Time, b Heartbeat) Actions {
 	g.storeCandidate(now, b)
-	if g.life.named() && b.Life.ID != g.life.ID {
+	if g.current.named() && b.Life.ID != g.current.ID {
 		return Actions{HoldNow: true}
 	}
 	if g.fence != 0 {
@@ -50,7 +50,7 @@
 // drains. That heartbeat was acknowledged, so it has to count.
 func (g *Gate) candidateDraining() bool {
 	for _, c := range g.candidates {
-		if c.Draining && c.Life.ID == g.life.ID {
+		if c.Draining && c.Life.ID == g.current.ID {
 			return true
 		}
 	}
@@ -73,8 +73,8 @@
 func (g *Gate) confirmCandidate() {
 	for i := len(g.candidates) - 1; i >= 0; i-- {
 		c := g.candidates[i]
-		if c.Life == g.life || g.identifies(c.Life) && g.life.Born != 0 {
-			g.life = c.Life
+		if c.Life == g.current || g.identifies(c.Life) && g.current.Born != 0 {
+			g.current = c.Life
 			g.applyHeartbeat(c.Heartbeat)
 			break
 		}
@@ -88,7 +88,7 @@
 	candidates := g.candidates
 	g.candidates = nil
 	for i := len(candidates) - 1; i >= 0; i-- {
-		if c := candidates[i]; !g.endedLives[c.Life] && (id == "" || id == c.Life.ID) {
+		if c := candidates[i]; !g.endedIncarnations[c.Life] && (id == "" || id == c.Life.ID) {
 			a, _ := g.OnHeartbeat(now, c.Heartbeat)
 			return a
 		}
--- a/gate/contact.go
+++ b/gate/contact.go
@@ -53,9 +53,9 @@
 // run ends with the lease, which is not extended beyond the run's time. After a suspension of
 // the process the check is skipped once, since frames of live owners may be waiting to be read.
 func (g *Gate) stopOverdue(now Time) {
-	stoodStill := now-g.lastOverdueCheck > maxTickGap
+	suspended := now-g.lastOverdueCheck > maxTickGap
 	g.lastOverdueCheck = now
-	if stoodStill {
+	if suspended {
 		return
 	}
 	for _, r := range g.runs {
--- a/gate/driver.go
+++ b/gate/driver.go
@@ -18,9 +18,9 @@
 
 // Driver carries out the calls that a Gate decides on.
 type Driver struct {
-	executor Executor
-	started  time.Time
-	log      logr.Logger
+	target  Executor
+	started time.Time
+	log     logr.Logger
 	// holdRequests wakes the hold loop.
 	holdRequests chan struct{}
 	// replaceHolds is set when the next hold is to replace those in flight.
@@ -37,7 +37,7 @@
 
 // NewDriver returns a driver of a gate; ctx cancels its calls.
 func NewDriver(ctx context.Context, g *Gate, e Executor, log logr.Logger) *Driver {
-	return &Driver{executor: e, started: time.Now(), log: log, holdRequests: make(chan struct{}, 1), described: make(chan Description, 1), ctx: ctx, gate: g}
+	return &Driver{target: e, started: time.Now(), log: log, holdRequests: make(chan struct{}, 1), described: make(chan Description, 1), ctx: ctx, gate: g}
 }
 
 func (d *Driver) now() Time { return time.Since(d.started) }
@@ -85,8 +85,8 @@
 	}
 }
 
-func (d *Driver) start(life Life, c StartCall) {
-	call := newRetriedCall(&d.rto, func(ctx context.Context) (Answer, error) { return d.executor.Start(ctx, life, c) })
+func (d *Driver) start(incarnation Life, c StartCall) {
+	call := newRetriedCall(&d.rto, func(ctx context.Context) (Answer, error) { return d.target.Start(ctx, incarnation, c) })
 	ans, err := call.run(d.ctx)
 	if err != nil {
 		d.log.Info("Start failed.", "job", c.Name.Job, "step", c.Name.Step, "index", c.Name.Index, "run", c.Name.Run, "tries", call.tries, "error", err.Error())
@@ -95,14 +95,14 @@
 		if call.mayComeLate() {
 			g.recordLateOrder(now)
 		}
-		return g.OnStart(now, life, c, ans, err)
+		return g.OnStart(now, incarnation, c, ans, err)
 	})
 }
 
-func (d *Driver) stop(life Life, c StopCall) {
-	call := newRetriedCall(&d.rto, func(ctx context.Context) (Answer, error) { return d.executor.Stop(ctx, life, c) })
+func (d *Driver) stop(incarnation Life, c StopCall) {
+	call := newRetriedCall(&d.rto, func(ctx context.Context) (Answer, error) { return d.target.Stop(ctx, incarnation, c) })
 	ans, err := call.run(d.ctx)
-	d.do(func(now Time, g *Gate) Actions { return g.OnStop(now, life, c, ans, err) })
+	d.do(func(now Time, g *Gate) Actions { return g.OnStop(now, incarnation, c, ans, err) })
 }
 
 // Run sends holds to the target until ctx ends.
@@ -132,9 +132,9 @@
 }
 
 // hold sends a hold and processes its answer unless it was abandoned meanwhile.
-func (d *Driver) hold(ctx context.Context, h Hold, brokenOff func() bool) error {
-	ans, lists, err := d.executor.Hold(ctx, h.Life, h.Call)
-	if brokenOff() {
+func (d *Driver) hold(ctx context.Context, h Hold, abandoned func() bool) error {
+	ans, lists, err := d.target.Hold(ctx, h.Life, h.Call)
+	if abandoned() {
 		return ErrUnanswered
 	}
 	if ctx.Err() != nil && errors.Is(err, ErrUnreached) {
@@ -239,8 +239,8 @@
 }
 
 // Deregister processes a deregistration of the target; see Gate.OnDeregister.
-func (d *Driver) Deregister(life Life) {
-	d.do(func(now Time, g *Gate) Actions { return g.OnDeregister(now, life) })
+func (d *Driver) Deregister(incarnation Life) {
+	d.do(func(now Time, g *Gate) Actions { return g.OnDeregister(now, incarnation) })
 }
 
 // Connect registers a new link of an owner; see Gate.Connect.
--- a/gate/driver_test.go
+++ b/gate/driver_test.go
@@ -11,9 +11,9 @@
 	"rackspur/job"
 )
 
-// hangingExecutor does not answer the first hold after a start until it is released, even if
-// the caller cancels the call.
-type hangingExecutor struct {
+// hangingTarget does not answer the first hold after a start until it is released, even if the
+// caller cancels the call.
+type hangingTarget struct {
 	release chan struct{}
 	hung    atomic.Bool
 	ended   atomic.Bool
@@ -21,19 +21,21 @@
 	run     atomic.Value
 }
 
-func (e *hangingExecutor) answer() Answer { return Answer{ClockMS: e.clock.Add(1), Life: testLife} }
+func (e *hangingTarget) answer() Answer {
+	return Answer{ClockMS: e.clock.Add(1), Life: testIncarnation}
+}
 
-func (e *hangingExecutor) Start(_ context.Context, _ Life, c StartCall) (Answer, error) {
+func (e *hangingTarget) Start(_ context.Context, _ Life, c StartCall) (Answer, error) {
 	e.run.Store(c.Name)
 	e.ended.Store(true)
 	return e.answer(), nil
 }
 
-func (e *hangingExecutor) Stop(context.Context, Life, StopCall) (Answer, error) {
+func (e *hangingTarget) Stop(context.Context, Life, StopCall) (Answer, error) {
 	return e.answer(), nil
 }
 
-func (e *hangingExecutor) Hold(_ context.Context, _ Life, c HoldCall) (Answer, HoldAnswer, error) {
+func (e *hangingTarget) Hold(_ context.Context, _ Life, c HoldCall) (Answer, HoldAnswer, error) {
 	if e.ended.Load() && e.hung.CompareAndSwap(false, true) {
 		<-e.release
 		return Answer{}, HoldAnswer{}, ErrUnanswered
@@ -48,12 +50,12 @@
 func TestHoldBesideHungOne(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	e := &hangingExecutor{release: make(chan struct{})}
+	e := &hangingTarget{release: make(chan struct{})}
 	defer close(e.release)
 	g := New(Options{Node: "gate-1", Lease: time.Second, Contact: time.Minute, BestEffortContact: time.Minute})
 	d := NewDriver(ctx, g, e, logr.Discard())
 	go d.Run(ctx)
-	d.Heartbeat(Heartbeat{Life: testLife, Service: "engine", Capacity: job.Resources{CPU: 1000}, Sequence: 1})
+	d.Heartbeat(Heartbeat{Life: testIncarnation, Service: "engine", Capacity: job.Resources{CPU: 1000}, Sequence: 1})
 	wake := make(chan struct{}, 1)
 	until := time.Now().Add(30 * time.Second)
 	for !d.Connect(testOwner, 1, func() {
--- a/gate/evacuation_test.go
+++ b/gate/evacuation_test.go
@@ -120,7 +120,7 @@
 func TestEvacuationOutlivesTarget(t *testing.T) {
 	b := newEvacuationBench(t)
 	b.news(5, testDomain)
-	b.gate.OnDeregister(b.now, testLife)
+	b.gate.OnDeregister(b.now, testIncarnation)
 	b.heartbeat(Life{ID: "i-2"}, false)
 	b.hold(HoldAnswer{})
 	b.hold(HoldAnswer{})
--- a/gate/event.go
+++ b/gate/event.go
@@ -56,7 +56,7 @@
 	AtWork       int
 }
 
-// PassedOver describes a message of the target that was skipped in favour of a newer one.
+// PassedOver describes a message of the target that was skipped.
 type PassedOver struct {
 	// Got and Newest are the values that were compared: the target's clock in milliseconds for
 	// lists, the sequence number for heartbeats.
@@ -123,14 +123,14 @@
 }
 
 // recordRestart counts a restart of the target under its id and records an event.
-func (g *Gate) recordRestart(now Time, life Life) {
+func (g *Gate) recordRestart(now Time, incarnation Life) {
 	g.counts.Restarts++
 	if len(g.events) >= maxEvents {
 		return
 	}
-	e := Event{Kind: EventRestart, Life: life, Former: g.life}
+	e := Event{Kind: EventRestart, Life: incarnation, Former: g.current}
 	for _, r := range g.runs {
-		if r.atWork() {
+		if r.active() {
 			e.AtWork++
 		}
 	}
--- a/gate/eventlog.go
+++ b/gate/eventlog.go
@@ -11,7 +11,7 @@
 	EventEvacuated: "Failure domain was evacuated; no more runs are started.",
 	EventTakenBack: "Evacuation was revoked.",
 
-	EventLost:                "Run was given up as over.",
+	EventLost:                "Run counted as lost.",
 	EventListsPassedOver:     "Skipped outdated lists of the target.",
 	EventHeartbeatPassedOver: "Skipped a heartbeat.",
 	EventRestart:             "Target has restarted.",
--- a/gate/executor.go
+++ b/gate/executor.go
@@ -33,7 +33,7 @@
 // EndKind is how a run ended.
 type EndKind int
 
-// Kinds of ends.
+// Kinds of ends. EndLapsed is the end of a run whose lease has expired.
 const (
 	EndDone EndKind = iota + 1
 	EndFailed
@@ -119,9 +119,9 @@
 // an empty id means any. Only the id is checked, so an incarnation can't detect calls meant for
 // an earlier one under the same id. Errors are those of this package.
 type Executor interface {
-	Start(ctx context.Context, life Life, c StartCall) (Answer, error)
-	Stop(ctx context.Context, life Life, c StopCall) (Answer, error)
-	Hold(ctx context.Context, life Life, c HoldCall) (Answer, HoldAnswer, error)
+	Start(ctx context.Context, incarnation Life, c StartCall) (Answer, error)
+	Stop(ctx context.Context, incarnation Life, c StopCall) (Answer, error)
+	Hold(ctx context.Context, incarnation Life, c HoldCall) (Answer, HoldAnswer, error)
 }
 
 // newConnectionKey is the context key of OnNewConnection.
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -93,10 +93,10 @@
 	untilMS int64
 	// foundAt is when the run was found on the target without a known owner.
 	foundAt Time
-	// ofFormerLife: the run was started in the target's previous incarnation, under the same
-	// id. Its start may have been carried out after the restart, so the run may be active until
-	// the new incarnation has listed its runs.
-	ofFormerLife bool
+	// ofFormerIncarnation: the run was started in the target's previous incarnation, under the
+	// same id. Its start may have been carried out after the restart, so the run may be active
+	// until the new incarnation has listed its runs.
+	ofFormerIncarnation bool
 
 	// mustStop is set once the run is to be stopped; stopSent is when the last stop was sent.
 	mustStop bool
@@ -139,7 +139,7 @@
 type Gate struct {
 	options Options
 
-	lifeState
+	incarnationState
 	// maxFence is the highest fencing token used in any incarnation of the target. fenceStep is
 	// added to it when the target has seen a higher one.
 	maxFence  uint64
@@ -147,8 +147,8 @@
 	// ordered: a start has carried the current fencing token.
 	ordered bool
 	// lateOrdersUntil is until when unanswered starts may still be carried out.
-	lateOrdersUntil Time
-	endedLives      map[Life]bool
+	lateOrdersUntil   Time
+	endedIncarnations map[Life]bool
 	// candidates holds the newest heartbeat of each incarnation other than the current one.
 	candidates []candidate
 	// recalled is the target's description as stored by an earlier process; published is the
@@ -193,13 +193,13 @@
 		o.Unix = func() int64 { return time.Now().UnixMilli() }
 	}
 	return &Gate{
-		options:    o,
-		fenceStep:  minFenceStep,
-		endedLives: map[Life]bool{},
-		runs:       map[job.RunName]*run{},
-		owners:     map[string]*ownerState{},
-		adopted:    map[string]string{},
-		lifeState:  newLifeState(Life{}, 0),
+		options:           o,
+		fenceStep:         minFenceStep,
+		endedIncarnations: map[Life]bool{},
+		runs:              map[job.RunName]*run{},
+		owners:            map[string]*ownerState{},
+		adopted:           map[string]string{},
+		incarnationState:  newIncarnationState(Life{}, 0),
 	}
 }
 
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -22,15 +22,15 @@
 
 // Incarnations of a target that takes a new id with each start.
 var (
-	testLife  = Life{ID: "i-1"}
-	olderLife = Life{ID: "older"}
-	newerLife = Life{ID: "newer"}
+	testIncarnation  = Life{ID: "i-1"}
+	olderIncarnation = Life{ID: "older"}
+	newerIncarnation = Life{ID: "newer"}
 )
 
 func newBench(t *testing.T) *bench {
 	b := &bench{t: t, now: time.Second, clock: 100000}
 	b.gate = New(Options{Node: "gate-1", Lease: time.Second, Contact: 1400 * time.Millisecond, BestEffortContact: 850 * time.Millisecond})
-	b.heartbeat(testLife, false)
+	b.heartbeat(testIncarnation, false)
 	b.hold(HoldAnswer{})
 	b.hold(HoldAnswer{})
 	b.gate.Connect(b.now, testOwner, 1, func() {})
@@ -39,9 +39,9 @@
 
 func (b *bench) targetClock() int64 { return b.clock + b.now.Milliseconds() }
 
-func (b *bench) heartbeat(life Life, draining bool) {
+func (b *bench) heartbeat(incarnation Life, draining bool) {
 	b.gate.OnHeartbeat(b.now, Heartbeat{
-		Life: life, Service: "engine", Capacity: job.Resources{CPU: 16000, Memory: 32768},
+		Life: incarnation, Service: "engine", Capacity: job.Resources{CPU: 16000, Memory: 32768},
 		Draining: draining, ClockMS: b.targetClock(), Sequence: b.now.Milliseconds(),
 	})
 }
@@ -50,7 +50,7 @@
 func (b *bench) hold(lists HoldAnswer) (Hold, Actions) {
 	h := b.gate.NextHold(b.now, 0)
 	b.now += time.Millisecond
-	return h, b.gate.OnHold(b.now, h, Answer{ClockMS: b.targetClock(), Life: b.gate.life}, lists, nil)
+	return h, b.gate.OnHold(b.now, h, Answer{ClockMS: b.targetClock(), Life: b.gate.current}, lists, nil)
 }
 
 func testRun(id job.ID, index, run int) job.RunName {
@@ -111,8 +111,8 @@
 func TestClosedGateGivesQueueBack(t *testing.T) {
 	waiting := testRun("bb", 0, 1)
 	closings := map[string]func(b *bench){
-		"draining":   func(b *bench) { b.heartbeat(testLife, true) },
-		"deregister": func(b *bench) { b.gate.OnDeregister(b.now, testLife) },
+		"draining":   func(b *bench) { b.heartbeat(testIncarnation, true) },
+		"deregister": func(b *bench) { b.gate.OnDeregister(b.now, testIncarnation) },
 		"leaving":    func(b *bench) { b.gate.Leave() },
 		"lapsing": func(b *bench) {
 			b.gate.lapsing = true
@@ -236,7 +236,7 @@
 	name := testRun("aa", 0, 1)
 	b.started(b.order(true, name))
 	old := b.gate.NextHold(b.now, 0)
-	oldAnswer := Answer{ClockMS: b.targetClock(), Life: testLife}
+	oldAnswer := Answer{ClockMS: b.targetClock(), Life: testIncarnation}
 	b.now += 5 * time.Millisecond
 	b.hold(HoldAnswer{Finished: []Ended{{Number: 1, Name: name, Kind: EndDone}}})
 	b.verdict(name, VerdictNote)
--- a/gate/heartbeat.go
+++ b/gate/heartbeat.go
@@ -6,36 +6,36 @@
 // an incarnation that has ended or can't be identified, or of another service.
 func (g *Gate) OnHeartbeat(now Time, b Heartbeat) (Actions, bool) {
 	switch {
-	case g.endedLives[b.Life]:
+	case g.endedIncarnations[b.Life]:
 		return Actions{}, false
-	case g.life.ambiguous(b.Life), g.namesOtherService(b):
+	case g.current.ambiguous(b.Life), g.namesOtherService(b):
 		g.skipHeartbeat(now, b)
 		return Actions{}, false
-	case b.Life == g.life:
+	case b.Life == g.current:
 		if b.Sequence < g.sequence {
 			g.applyLateHeartbeat(now, b)
 			return Actions{}, true
 		}
 	case g.identifies(b.Life):
-		g.life = b.Life
-	case g.lifeAnswers(now) || g.mayHaveRuns(now):
+		g.current = b.Life
+	case g.currentAnswers(now) || g.mayHaveRuns(now):
 		return g.addCandidate(now, b), true
 	default:
 		sameID := b.Life.ID == g.callID()
-		g.newLife(now, b.Life, sameID)
+		g.replaceIncarnation(now, b.Life, sameID)
 		if sameID {
 			g.applyHeartbeat(b)
-			return g.fenceFormerLife(now, b.ClockMS), true
+			return g.fenceFormerIncarnation(now, b.ClockMS), true
 		}
 	}
 	g.applyHeartbeat(b)
 	return g.startFromQueue(now, Actions{HoldNow: g.fence == 0}), true
 }
 
-// fenceFormerLife makes the next call to a restarted target carry a new fencing token. Once the
-// target has seen it, calls meant for the previous incarnation are no longer carried out. The
-// heartbeat's clock replaces the clock probe.
-func (g *Gate) fenceFormerLife(now Time, clockMS int64) Actions {
+// fenceFormerIncarnation makes the next call to a restarted target carry a new fencing token.
+// Once the target has seen it, calls meant for the previous incarnation are no longer carried
+// out. The heartbeat's clock replaces the clock probe.
+func (g *Gate) fenceFormerIncarnation(now Time, clockMS int64) Actions {
 	if clockMS != 0 {
 		g.resetClock(now, clockMS)
 		g.raiseFence()
@@ -72,15 +72,15 @@
 
 // identifies reports whether a heartbeat's incarnation can be the current one, whose id is not
 // known yet.
-func (g *Gate) identifies(life Life) bool {
-	return !g.life.named() && g.fence != 0 && (g.life.Born == 0 || g.life.Born == life.Born)
+func (g *Gate) identifies(incarnation Life) bool {
+	return !g.current.named() && g.fence != 0 && (g.current.Born == 0 || g.current.Born == incarnation.Born)
 }
 
-// lifeAnswers reports whether the target has recently answered calls that name the current
+// currentAnswers reports whether the target has recently answered calls that name the current
 // incarnation. A heartbeat of another one may then be a delayed one of an incarnation that only
 // an earlier process of this gate knew; the answer to the next call decides.
-func (g *Gate) lifeAnswers(now Time) bool {
-	return (g.known || g.listedMS != 0) && g.life != Life{} && !g.targetSilent(now)
+func (g *Gate) currentAnswers(now Time) bool {
+	return (g.known || g.listedMS != 0) && g.current != Life{} && !g.targetSilent(now)
 }
 
 // mayHaveRuns reports whether runs of the current incarnation may be active, judging by its
@@ -90,7 +90,7 @@
 		return false
 	}
 	for _, r := range g.runs {
-		if r.atWork() {
+		if r.active() {
 			return true
 		}
 	}
@@ -99,10 +99,10 @@
 
 // OnDeregister handles the deregistration of an incarnation. If it does not identify one, the
 // next call shows whether the target is still there.
-func (g *Gate) OnDeregister(now Time, life Life) Actions {
-	if life != g.life {
-		return Actions{HoldNow: g.life.ambiguous(life)}
+func (g *Gate) OnDeregister(now Time, incarnation Life) Actions {
+	if incarnation != g.current {
+		return Actions{HoldNow: g.current.ambiguous(incarnation)}
 	}
-	g.endLife(now, life.Born != 0)
+	g.endIncarnation(now, incarnation.Born != 0)
 	return g.adoptCandidate(now, "")
 }
--- a/gate/hold.go
+++ b/gate/hold.go
@@ -16,7 +16,7 @@
 
 // NextHold returns the hold to send now; wait is how long its answer may be delayed.
 func (g *Gate) NextHold(now Time, wait time.Duration) Hold {
-	h := Hold{Life: g.life, sent: now}
+	h := Hold{Life: g.current, sent: now}
 	if g.fence == 0 {
 		h.clockProbe = true
 		return h
@@ -75,11 +75,11 @@
 
 // OnHold handles the answer to a hold.
 func (g *Gate) OnHold(now Time, h Hold, a Answer, lists HoldAnswer, err error) Actions {
-	if h.Life.ID != g.life.ID {
+	if h.Life.ID != g.current.ID {
 		return Actions{}
 	}
 	if err != nil {
-		if h.Life != g.life {
+		if h.Life != g.current {
 			return Actions{}
 		}
 		g.recordAnswer(now, a, err)
@@ -89,10 +89,10 @@
 		return g.onHoldFailed(now, h, a, err)
 	}
 	g.recordContact(now)
-	former := g.life
-	if !g.checkAnsweringLife(now, h, a) {
+	former := g.current
+	if !g.checkAnswerer(now, h, a) {
 		g.confirmed = false
-		return Actions{HoldNow: g.life != former}
+		return Actions{HoldNow: g.current != former}
 	}
 	g.updateClock(now, a.ClockMS)
 	g.confirmRecalled()
@@ -146,7 +146,7 @@
 		g.grantedMS = max(g.grantedMS, a.ClockMS+g.options.Lease.Milliseconds())
 		return Actions{HoldNow: true}
 	case errors.Is(err, ErrOtherLife):
-		if g.life.named() {
+		if g.current.named() {
 			return g.onTurnedAway(now, a.Life.ID)
 		}
 	}
--- a/gate/holdload_test.go
+++ b/gate/holdload_test.go
@@ -15,18 +15,18 @@
 // loadedTarget answers holds with a given delay and counts the ones in progress. A cancelled
 // call stays in progress for a moment.
 type loadedTarget struct {
-	hangingExecutor
+	hangingTarget
 	// delay returns how long after its wait a hold is answered, by its number from 1;
 	// neverAnswered makes it hang.
 	delay func(number int) time.Duration
 	// ending is how long a call stays in progress after its cancellation.
 	ending time.Duration
 
-	mu      sync.Mutex
-	holds   int
-	open    int
-	maxOpen int
-	ended   int
+	mu        sync.Mutex
+	holds     int
+	open      int
+	maxOpen   int
+	cancelled int
 	// answeredAt is when a hold was last answered, longestGap the longest time between two
 	// answers.
 	answeredAt time.Time
@@ -45,7 +45,7 @@
 		<-ctx.Done()
 	}
 	if ctx.Err() != nil {
-		x.breakOff()
+		x.recordCancelled()
 		return Answer{}, HoldAnswer{}, ErrUnanswered
 	}
 	x.answered()
@@ -67,11 +67,11 @@
 	x.open--
 }
 
-func (x *loadedTarget) breakOff() {
+func (x *loadedTarget) recordCancelled() {
 	wait.For(context.Background(), x.ending)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.ended++
+	x.cancelled++
 }
 
 func (x *loadedTarget) answered() {
@@ -140,7 +140,7 @@
 	g := New(Options{Node: "gate-1", Lease: time.Second, Contact: time.Minute, BestEffortContact: time.Minute})
 	d := NewDriver(ctx, g, x, logr.Discard())
 	go d.Run(ctx)
-	d.Heartbeat(Heartbeat{Life: testLife, Service: "engine", Sequence: 1})
+	d.Heartbeat(Heartbeat{Life: testIncarnation, Service: "engine", Sequence: 1})
 	for i := range 400 {
 		wait.For(ctx, 50*time.Millisecond)
 		if poked && i%7 == 0 {
@@ -158,5 +158,5 @@
 	if heardWithin > 0 && x.longestGap > heardWithin {
 		t.Errorf("calls end %v after their cancellation: %v without an answer, want %v at most", ending, x.longestGap, heardWithin)
 	}
-	t.Logf("ending %v: %d holds, %d at once, %d cancelled, longest gap %v", ending, x.holds, x.maxOpen, x.ended, x.longestGap)
+	t.Logf("ending %v: %d holds, %d at once, %d cancelled, longest gap %v", ending, x.holds, x.maxOpen, x.cancelled, x.longestGap)
 }
--- a/gate/lease_test.go
+++ b/gate/lease_test.go
@@ -11,20 +11,20 @@
 func TestNoLeaseForUnclaimedRuns(t *testing.T) {
 	b := newBench(t)
 	found, next := testRun("aa", 0, 1), testRun("bb", 0, 1)
-	b.hold(working(found))
+	b.hold(runningLists(found))
 	granted := b.gate.grantedMS
 	if a := b.order(true, next); len(a.Starts) != 0 {
 		t.Fatalf("started %v beside a run that nobody has claimed", a.Starts)
 	}
 	for b.now-time.Second < unclaimedWait {
-		h, a := b.hold(working(found))
+		h, a := b.hold(runningLists(found))
 		if h.Call.UntilMS != 0 || b.gate.grantedMS != granted || len(a.Starts) != 0 {
 			t.Fatalf("lease asked for up to %d, starts %v", h.Call.UntilMS, a.Starts)
 		}
 		b.now += 20 * time.Millisecond
 	}
 	b.verdict(found, VerdictClaim)
-	if h, _ := b.hold(working(found)); h.Call.UntilMS <= granted {
+	if h, _ := b.hold(runningLists(found)); h.Call.UntilMS <= granted {
 		t.Errorf("lease up to %d once the run is claimed, want more than %d", h.Call.UntilMS, granted)
 	}
 }
@@ -33,12 +33,12 @@
 func TestUnclaimedRunsAreStopped(t *testing.T) {
 	b := newBench(t)
 	found := testRun("aa", 0, 1)
-	b.hold(working(found))
+	b.hold(runningLists(found))
 	began := b.now
 	var a Actions
 	for len(a.Stops) == 0 && b.now-began < unclaimedWait+tickInterval {
 		b.now += 20 * time.Millisecond
-		_, a = b.hold(working(found))
+		_, a = b.hold(runningLists(found))
 	}
 	if len(a.Stops) != 1 || a.Stops[0].Name != found {
 		t.Fatalf("stops %+v, want one", a.Stops)
@@ -54,7 +54,7 @@
 	b := newBench(t)
 	name := testRun("aa", 0, 1)
 	b.started(b.order(false, name))
-	b.hold(working(name))
+	b.hold(runningLists(name))
 	b.now += 375 * time.Millisecond
 	h := b.gate.NextHold(b.now, 0)
 	left := time.Duration(h.Call.UntilMS-b.targetClock()) * time.Millisecond
@@ -72,7 +72,7 @@
 	contact := b.now
 	given := int64(0)
 	for b.now-contact < 300*time.Millisecond {
-		h, _ := b.hold(working(name))
+		h, _ := b.hold(runningLists(name))
 		given = max(given, h.Call.UntilMS)
 		b.now += 99 * time.Millisecond
 	}
@@ -97,7 +97,7 @@
 	old := b.now
 	for b.now-old < 600*time.Millisecond {
 		b.gate.OnFrame(b.now, secondOwner, 1, OwnerFrame{Echo: b.now, Sequence: 2})
-		b.hold(working(testRun("bb", 0, 1)))
+		b.hold(runningLists(testRun("bb", 0, 1)))
 		b.now += 49 * time.Millisecond
 	}
 	if a := b.orderBy(testOwner, old, testRun("aa", 0, 1)); len(a.Starts) != 0 {
--- a/gate/leftover_test.go
+++ b/gate/leftover_test.go
@@ -19,8 +19,8 @@
 	// keptOver is how long after the last contact with a gate its owners assume that runs of
 	// durable jobs may be active (owner.overAfter: contact, longest lease, margin).
 	keptOver = 1400*time.Millisecond + 1030*time.Millisecond + 250*time.Millisecond
-	// mostLease stops a loop over leases that are renewed endlessly.
-	mostLease = 6 * time.Second
+	// maxLeaseWatch stops a loop over leases that are renewed endlessly.
+	maxLeaseWatch = 6 * time.Second
 	// slowClock is the fraction by which a target's clock may run slow.
 	slowClock = 0.02
 )
@@ -45,8 +45,8 @@
 	return b.now + time.Duration(float64(left)/(1-slowClock))
 }
 
-// working returns lists with the given runs as running.
-func working(names ...job.RunName) HoldAnswer {
+// runningLists returns lists with the given runs as running.
+func runningLists(names ...job.RunName) HoldAnswer {
 	var lists HoldAnswer
 	for _, n := range names {
 		lists.Running = append(lists.Running, Running{Name: n, Percent: 10})
@@ -54,12 +54,12 @@
 	return lists
 }
 
-// mostLeased lets a target hold for some time and returns the latest end of a lease that the
-// gate has requested, including leases requested after a hold that requested none.
-func (b *bench) mostLeased(name job.RunName, most time.Duration) Time {
+// latestLeaseEnd lets a target hold for some time and returns the latest end of a lease that
+// the gate has requested, including leases requested after a hold that requested none.
+func (b *bench) latestLeaseEnd(name job.RunName, most time.Duration) Time {
 	lease := Time(0)
 	for began := b.now; b.now-began < most; b.now += 9 * time.Millisecond {
-		h, _ := b.hold(working(name))
+		h, _ := b.hold(runningLists(name))
 		if h.Call.UntilMS > 0 {
 			lease = max(lease, b.leaseEnd(h.Call.UntilMS))
 		}
@@ -75,7 +75,7 @@
 	ordered = b.now
 	for b.now-ordered < 3*time.Second {
 		b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, Sequence: 3})
-		lease = max(lease, b.mostLeased(name, 50*time.Millisecond))
+		lease = max(lease, b.latestLeaseEnd(name, 50*time.Millisecond))
 	}
 	return ordered, lease
 }
@@ -144,7 +144,7 @@
 func TestStopOfUnclaimedRun(t *testing.T) {
 	b := newBench(t)
 	found := testRun("aa", 0, 1)
-	b.hold(working(found))
+	b.hold(runningLists(found))
 	a, _ := b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, Sequence: 1, Stops: []job.RunName{found}})
 	if len(a.Stops) != 1 {
 		t.Errorf("stops %+v, want the run that was found", a.Stops)
@@ -157,7 +157,7 @@
 	t.Helper()
 	b := newBench(t)
 	found := testRun("aa", 0, 1)
-	b.hold(working(found))
+	b.hold(runningLists(found))
 	began := b.now
 	for sent := false; b.now-began < 4*time.Second; b.now += 10 * time.Millisecond {
 		if claimed && b.now-began >= 250*time.Millisecond {
@@ -169,7 +169,7 @@
 			}
 			b.gate.OnFrame(b.now, secondOwner, 1, f)
 		}
-		_, a := b.hold(working(found))
+		_, a := b.hold(runningLists(found))
 		if len(a.Stops)+len(b.gate.Tick(b.now).Stops) > 0 {
 			return b.now - began
 		}
@@ -191,7 +191,7 @@
 func TestUnsurveyedGateExtendsNoLease(t *testing.T) {
 	b := &bench{t: t, now: 900 * time.Millisecond, clock: 100000}
 	b.gate = New(Options{Node: "gate-1", Lease: time.Second, Contact: 1400 * time.Millisecond, BestEffortContact: 850 * time.Millisecond})
-	b.heartbeat(testLife, false)
+	b.heartbeat(testIncarnation, false)
 	b.hold(HoldAnswer{}) // Reads the clock only.
 	h := b.gate.NextHold(b.now, 0)
 	lease := b.leaseEnd(h.Call.UntilMS)
@@ -216,7 +216,7 @@
 		lease := b.now
 		for b.now-echo < age {
 			b.gate.OnFrame(b.now, secondOwner, 1, OwnerFrame{Echo: b.now, Sequence: 2})
-			h, _ := b.hold(working(other))
+			h, _ := b.hold(runningLists(other))
 			lease = max(lease, b.leaseEnd(h.Call.UntilMS))
 			b.now += 49 * time.Millisecond
 		}
@@ -232,24 +232,24 @@
 	b := newBench(t)
 	name := testRun("aa", 0, 1)
 	b.started(b.orderBy(testOwner, b.now, name))
-	b.hold(working(name))
+	b.hold(runningLists(name))
 	b.states()
 	b.now += silentAfter + time.Millisecond
-	b.heartbeat(olderLife, false)
+	b.heartbeat(olderIncarnation, false)
 	if s := b.states()[name]; s.End != 0 {
 		t.Errorf("reported %+v while the lease of the run is valid", s)
 	}
 	// The target answers again, as the same incarnation.
 	h := b.gate.NextHold(b.now, 0)
-	if h.Life != testLife && h.Life != (Life{}) {
+	if h.Life != testIncarnation && h.Life != (Life{}) {
 		b.gate.OnHold(b.now, h, Answer{}, HoldAnswer{}, ErrOtherLife)
 	}
 	for range 3 {
 		h = b.gate.NextHold(b.now, 0)
 		b.now += time.Millisecond
-		b.gate.OnHold(b.now, h, Answer{ClockMS: b.targetClock(), Life: testLife}, working(name), nil)
+		b.gate.OnHold(b.now, h, Answer{ClockMS: b.targetClock(), Life: testIncarnation}, runningLists(name), nil)
 	}
-	b.heartbeat(testLife, false)
+	b.heartbeat(testIncarnation, false)
 	if !b.open() {
 		t.Error("closed for good to the answering incarnation")
 	}
@@ -262,8 +262,8 @@
 	name := testRun("aa", 0, 1)
 	b.started(b.order(true, name))
 	contact, lease := b.now, b.now
-	for b.now <= lease && b.now-contact < mostLease {
-		h, _ := b.hold(working(name))
+	for b.now <= lease && b.now-contact < maxLeaseWatch {
+		h, _ := b.hold(runningLists(name))
 		if h.Call.UntilMS > 0 {
 			lease = max(lease, b.leaseEnd(h.Call.UntilMS))
 		}
@@ -284,7 +284,7 @@
 	name := testRun("aa", 0, 1)
 	b.started(b.order(true, name))
 	contact := b.now
-	if lease := b.mostLeased(name, mostLease); lease == 0 || lease-contact > keptOver {
+	if lease := b.latestLeaseEnd(name, maxLeaseWatch); lease == 0 || lease-contact > keptOver {
 		t.Errorf("leased for %v after the owner's last contact, want %v at most, and some", lease-contact, keptOver)
 	}
 }
@@ -297,8 +297,8 @@
 	b.started(b.orderBy(testOwner, b.now, name))
 	b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, Sequence: 2, Stops: []job.RunName{name}})
 	ordered, lease := b.now, b.now
-	for b.now <= lease && b.now-ordered < mostLease {
-		h, _ := b.hold(working(name))
+	for b.now <= lease && b.now-ordered < maxLeaseWatch {
+		h, _ := b.hold(runningLists(name))
 		if h.Call.UntilMS > 0 {
 			lease = max(lease, b.leaseEnd(h.Call.UntilMS))
 		}
@@ -335,7 +335,7 @@
 		t.Fatalf("stops %+v, want one since the start was not answered", a.Stops)
 	}
 	b.now += 50 * time.Millisecond
-	b.hold(working(name)) // The start is carried out late.
+	b.hold(runningLists(name)) // The start is carried out late.
 	ordered, lease := b.leasedAfterStop(name)
 	if lease-ordered > callerWait {
 		t.Errorf("leased for %v after the owner has given the run up, want %v at most", lease-ordered, callerWait)
@@ -347,9 +347,9 @@
 func TestOrderedStopOfRunClaimedLate(t *testing.T) {
 	b := newBench(t)
 	name := testRun("aa", 0, 1)
-	b.hold(working(name))
+	b.hold(runningLists(name))
 	b.now += unclaimedWait + time.Millisecond
-	b.hold(working(name))
+	b.hold(runningLists(name))
 	b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, Sequence: 1, Verdicts: []Verdict{{Name: name, Kind: VerdictClaim, BestEffort: true}}})
 	b.now += 50 * time.Millisecond
 	ordered, lease := b.leasedAfterStop(name)
--- a/gate/life.go
+++ b/gate/life.go
@@ -24,10 +24,10 @@
 	return l.ID == other.ID && l.Born != 0 && other.Born == 0
 }
 
-// lifeState is the state that belongs to one incarnation of the target and is reset with the
-// next.
-type lifeState struct {
-	life Life
+// incarnationState is the state that belongs to one incarnation of the target and is reset with
+// the next.
+type incarnationState struct {
+	current Life
 	// begun is when the gate learned of the incarnation.
 	begun Time
 	// idConfirmed is set once a hold that named the id was answered.
@@ -80,42 +80,42 @@
 	health  health
 }
 
-func newLifeState(life Life, now Time) lifeState {
-	return lifeState{life: life, begun: now, clockAt: now, listed: map[int64]*run{}}
+func newIncarnationState(incarnation Life, now Time) incarnationState {
+	return incarnationState{current: incarnation, begun: now, clockAt: now, listed: map[int64]*run{}}
 }
 
-// checkAnsweringLife determines which incarnation has answered a hold; it returns false if the
+// checkAnswerer determines which incarnation has answered a hold; it returns false if the
 // answer can't be attributed to the current one. An incarnation that answers a call sent after
 // another was known is newer than that. An answer to an earlier call may have arrived out of
 // order and proves nothing.
-func (g *Gate) checkAnsweringLife(now Time, h Hold, a Answer) bool {
-	answered := Life{ID: g.life.ID, Born: a.Life.Born}
+func (g *Gate) checkAnswerer(now Time, h Hold, a Answer) bool {
+	answered := Life{ID: g.current.ID, Born: a.Life.Born}
 	switch {
-	case answered == g.life:
-		g.idConfirmed = g.life.named()
+	case answered == g.current:
+		g.idConfirmed = g.current.named()
 		g.dropStaleCandidates(h.sent)
 		return true
-	case g.life.ambiguous(answered), h.sent < g.begun:
+	case g.current.ambiguous(answered), h.sent < g.begun:
 		g.skipLists(now, a)
 		return false
-	case g.life.Born == 0 && g.listedMS == 0:
-		g.life = answered
-		g.idConfirmed = g.life.named()
+	case g.current.Born == 0 && g.listedMS == 0:
+		g.current = answered
+		g.idConfirmed = g.current.named()
 		g.resetClock(now, a.ClockMS)
 		return true
 	}
-	g.switchLife(now, answered, a.ClockMS)
+	g.onRestart(now, answered, a.ClockMS)
 	return false
 }
 
-// switchLife handles an answer that shows that the target has restarted under its id. The new
+// onRestart handles an answer that shows that the target has restarted under its id. The new
 // incarnation's lists count only once it has answered a call with a higher token than all calls
 // to the previous one, none of which can be carried out from then on.
-func (g *Gate) switchLife(now Time, life Life, clockMS int64) {
-	g.markEnded(g.life)
-	delete(g.endedLives, life)
-	g.newLife(now, life, true)
-	g.idConfirmed = life.named()
+func (g *Gate) onRestart(now Time, incarnation Life, clockMS int64) {
+	g.markEnded(g.current)
+	delete(g.endedIncarnations, incarnation)
+	g.replaceIncarnation(now, incarnation, true)
+	g.idConfirmed = incarnation.named()
 	g.resetClock(now, clockMS)
 	g.raiseFence()
 	g.confirmCandidate()
@@ -123,26 +123,27 @@
 	g.reportChanged()
 }
 
-// endLife records that the current incarnation has ended for good: a call that named it was
-// rejected, or it has deregistered. A heartbeat of another incarnation is no proof, since it
-// may have been delayed. sameID says whether the target may return under its id; see newLife.
-func (g *Gate) endLife(now Time, sameID bool) {
-	over := g.life
-	g.newLife(now, Life{}, sameID)
+// endIncarnation records that the current incarnation has ended for good: a call that named it
+// was rejected, or it has deregistered. A heartbeat of another incarnation is no proof, since
+// it may have been delayed. sameID says whether the target may return under its id; see
+// replaceIncarnation.
+func (g *Gate) endIncarnation(now Time, sameID bool) {
+	over := g.current
+	g.replaceIncarnation(now, Life{}, sameID)
 	g.markEnded(over)
 	g.reportChanged()
 }
 
-// maxEndedLives bounds the set of ended incarnations. A message of one that was dropped from it
-// is taken for a new incarnation's until the target's next answer.
-const maxEndedLives = 1000
+// maxEndedIncarnations bounds the set of ended incarnations. A message of one that was dropped
+// from it is taken for a new incarnation's until the target's next answer.
+const maxEndedIncarnations = 1000
 
 // markEnded records that an incarnation has ended, so that its messages are no longer trusted.
-func (g *Gate) markEnded(life Life) {
-	if len(g.endedLives) >= maxEndedLives {
-		clear(g.endedLives)
+func (g *Gate) markEnded(incarnation Life) {
+	if len(g.endedIncarnations) >= maxEndedIncarnations {
+		clear(g.endedIncarnations)
 	}
-	g.endedLives[life] = true
+	g.endedIncarnations[incarnation] = true
 }
 
 // onTurnedAway handles the rejection of a call that named the current id; id is the target that
@@ -151,7 +152,7 @@
 // runs may still be active.
 func (g *Gate) onTurnedAway(now Time, id string) Actions {
 	if g.idConfirmed {
-		g.endLife(now, false)
+		g.endIncarnation(now, false)
 	} else {
 		g.forgetID()
 	}
@@ -162,8 +163,8 @@
 
 // forgetID removes the id of the current incarnation and everything reported under it.
 func (g *Gate) forgetID() {
-	g.markEnded(g.life)
-	g.life = Life{Born: g.life.Born}
+	g.markEnded(g.current)
+	g.current = Life{Born: g.current.Born}
 	g.recalled = Description{}
 	g.known = false
 	g.draining = false
@@ -172,13 +173,13 @@
 	g.reportChanged()
 }
 
-// newLife replaces the current incarnation; an empty life is not known yet. sameID says whether
-// the new incarnation has, or may have, the id named by calls to the previous one, so that it
-// may carry out starts meant for that. Active runs then wait for its first lists; otherwise
-// they have ended.
-func (g *Gate) newLife(now Time, life Life, sameID bool) {
-	if sameID && life != (Life{}) {
-		g.recordRestart(now, life)
+// replaceIncarnation replaces the current incarnation; the zero value means that the new one is
+// not known yet. sameID says whether the new incarnation has, or may have, the id named by
+// calls to the previous one, so that it may carry out starts meant for that. Active runs then
+// wait for its first lists; otherwise they have ended.
+func (g *Gate) replaceIncarnation(now Time, incarnation Life, sameID bool) {
+	if sameID && incarnation != (Life{}) {
+		g.recordRestart(now, incarnation)
 	}
 	id := g.callID()
 	for _, r := range g.runs {
@@ -189,11 +190,11 @@
 		case sameID:
 			r.awaitLists(now)
 		default:
-			g.endUnlisted(now, r, EndLost, reasonLifeOver)
+			g.endUnlisted(now, r, EndLost, reasonIncarnationOver)
 		}
 	}
 	former := max(g.grantedMS, g.formerGrantedMS)
-	g.lifeState = newLifeState(life, now)
+	g.incarnationState = newIncarnationState(incarnation, now)
 	if sameID {
 		g.formerID = id
 		g.formerGrantedMS = former
@@ -203,14 +204,14 @@
 
 // callID returns the id named by the calls in flight.
 func (g *Gate) callID() string {
-	if g.life.named() {
-		return g.life.ID
+	if g.current.named() {
+		return g.current.ID
 	}
 	return g.formerID
 }
 
-// reasonLifeOver is the reason given for runs lost with their incarnation.
-const reasonLifeOver = "the target's life is over"
+// reasonIncarnationOver is the reason given for runs lost with their incarnation.
+const reasonIncarnationOver = "the target's life is over"
 
 // detachEnd keeps an end independently of the incarnation that listed it, since it can no
 // longer be acknowledged there. It is reported until the owner has accepted it.
@@ -226,7 +227,7 @@
 // awaitLists makes an active run of the previous incarnation wait for the first lists of the
 // current one, which has the same id.
 func (r *run) awaitLists(now Time) {
-	r.ofFormerLife = true
+	r.ofFormerIncarnation = true
 	r.phase = phaseUnknown
 	r.unknownSince = now
 	r.progress = progress{}
--- a/gate/life_test.go
+++ b/gate/life_test.go
@@ -11,9 +11,9 @@
 	b := newBench(t)
 	running := testRun("aa", 0, 1)
 	b.started(b.order(true, running))
-	b.heartbeat(olderLife, true)
-	if b.gate.life != testLife || b.gate.draining || !b.open() {
-		t.Fatalf("life %v, draining %v, open %v after a late heartbeat", b.gate.life, b.gate.draining, b.open())
+	b.heartbeat(olderIncarnation, true)
+	if b.gate.current != testIncarnation || b.gate.draining || !b.open() {
+		t.Fatalf("incarnation %v, draining %v, open %v after a late heartbeat", b.gate.current, b.gate.draining, b.open())
 	}
 	b.hold(HoldAnswer{Running: []Running{{Name: running}}})
 	if r := b.gate.runs[running]; r == nil || r.phase != phaseRunning {
@@ -25,18 +25,18 @@
 // it at once.
 func TestNewLifeAfterQuickRestart(t *testing.T) {
 	b := newBench(t)
-	b.heartbeat(newerLife, false)
-	if b.gate.life != testLife {
+	b.heartbeat(newerIncarnation, false)
+	if b.gate.current != testIncarnation {
 		t.Fatal("the new incarnation was accepted before an answer has confirmed it")
 	}
 	h := b.gate.NextHold(b.now, 0)
 	b.now += time.Millisecond
 	b.gate.OnHold(b.now, h, Answer{}, HoldAnswer{}, ErrOtherLife)
-	if b.gate.life != newerLife || !b.gate.known {
-		t.Errorf("life %v, known %v after calls were rejected", b.gate.life, b.gate.known)
+	if b.gate.current != newerIncarnation || !b.gate.known {
+		t.Errorf("incarnation %v, known %v after calls were rejected", b.gate.current, b.gate.known)
 	}
-	b.heartbeat(testLife, false)
-	if b.gate.life != newerLife {
+	b.heartbeat(testIncarnation, false)
+	if b.gate.current != newerIncarnation {
 		t.Error("a heartbeat of the ended incarnation was accepted")
 	}
 }
@@ -45,9 +45,9 @@
 func TestNewLifeAfterSilence(t *testing.T) {
 	b := newBench(t)
 	b.now += silentAfter + time.Millisecond
-	b.heartbeat(newerLife, false)
-	if b.gate.life != newerLife {
-		t.Errorf("life %v", b.gate.life)
+	b.heartbeat(newerIncarnation, false)
+	if b.gate.current != newerIncarnation {
+		t.Errorf("incarnation %v", b.gate.current)
 	}
 }
 
@@ -79,26 +79,26 @@
 		for _, draining := range []bool{false, true} {
 			t.Run(test.name, func(t *testing.T) {
 				b := test.before(t)
-				b.heartbeat(olderLife, draining)
+				b.heartbeat(olderIncarnation, draining)
 				// The target answers as the newer incarnation.
 				for range 4 {
-					b.holdOf(testLife)
+					b.holdOf(testIncarnation)
 				}
 				b.now += 700 * time.Millisecond
-				b.heartbeat(testLife, false)
+				b.heartbeat(testIncarnation, false)
 				for range 4 {
-					b.holdOf(testLife)
+					b.holdOf(testIncarnation)
 				}
-				if b.gate.life != testLife || !b.gate.Open(b.now) {
-					t.Errorf("life %v, open %v, want the new incarnation and open", b.gate.life, b.gate.Open(b.now))
+				if b.gate.current != testIncarnation || !b.gate.Open(b.now) {
+					t.Errorf("incarnation %v, open %v, want the new incarnation and open", b.gate.current, b.gate.Open(b.now))
 				}
-				b.gate.OnDeregister(b.now, olderLife)
+				b.gate.OnDeregister(b.now, olderIncarnation)
 				if !b.gate.Open(b.now) {
 					t.Error("closed by a late message of the older incarnation that it ends")
 				}
 				b.now += 700 * time.Millisecond
-				b.heartbeat(testLife, true)
-				b.holdOf(testLife)
+				b.heartbeat(testIncarnation, true)
+				b.holdOf(testIncarnation)
 				if b.gate.Open(b.now) {
 					t.Error("open although the new incarnation has said that it drains")
 				}
@@ -108,11 +108,11 @@
 }
 
 // holdOf sends the hold that is due, which is answered by a target of the given incarnation.
-func (b *bench) holdOf(life Life) {
+func (b *bench) holdOf(incarnation Life) {
 	h := b.gate.NextHold(b.now, 0)
 	b.now += time.Millisecond
-	answer := Answer{ClockMS: b.targetClock(), Life: life}
-	if h.Life != (Life{}) && h.Life != life {
+	answer := Answer{ClockMS: b.targetClock(), Life: incarnation}
+	if h.Life != (Life{}) && h.Life != incarnation {
 		b.gate.OnHold(b.now, h, answer, HoldAnswer{}, ErrOtherLife)
 		return
 	}
--- a/gate/lists.go
+++ b/gate/lists.go
@@ -58,7 +58,7 @@
 			r.checkpoint = x.Checkpoint
 		}
 		g.updateProgress(r, x.Percent)
-		r.ofFormerLife = false
+		r.ofFormerIncarnation = false
 		if r.phase == phaseUnknown && !r.mustStop {
 			g.setRunning(now, r)
 			g.sendState(r)
@@ -73,8 +73,8 @@
 			continue
 		}
 		switch {
-		case r.ofFormerLife:
-			g.endUnlisted(now, r, EndLost, reasonLifeOver)
+		case r.ofFormerIncarnation:
+			g.endUnlisted(now, r, EndLost, reasonIncarnationOver)
 		case r.phase == phaseUnknown && r.unknownSince < h.sent && !r.mustStop:
 			g.requestStop(now, r, StopUnanswered)
 		case g.neverStarted(r, h):
@@ -104,8 +104,8 @@
 		return
 	}
 	for _, r := range g.runs {
-		if r.ofFormerLife && r.atWork() {
-			g.endUnlisted(now, r, EndLost, reasonLifeOver)
+		if r.ofFormerIncarnation && r.active() {
+			g.endUnlisted(now, r, EndLost, reasonIncarnationOver)
 		}
 	}
 }
@@ -117,7 +117,7 @@
 		return
 	}
 	for _, r := range g.runs {
-		if r.atWork() {
+		if r.active() {
 			g.endUnlisted(now, r, EndLost, "executor silent")
 		}
 	}
--- a/gate/name_test.go
+++ b/gate/name_test.go
@@ -15,91 +15,91 @@
 func TestWrongNameEndsNoRuns(t *testing.T) {
 	names := map[string]func(b *bench){
 		"recalled": func(b *bench) {
-			b.gate.Recall(Description{Life: olderLife, Service: "engine", Capacity: job.Resources{CPU: 16000}})
+			b.gate.Recall(Description{Life: olderIncarnation, Service: "engine", Capacity: job.Resources{CPU: 16000}})
 		},
-		"by a heartbeat that was held up": func(b *bench) { b.heartbeat(olderLife, false) },
+		"by a heartbeat that was held up": func(b *bench) { b.heartbeat(olderIncarnation, false) },
 	}
 	for name, give := range names {
 		t.Run(name, func(t *testing.T) {
 			b := restarted(t, Description{})
 			run := testRun("aa", 0, 1)
 			b.hold(HoldAnswer{}) // Reads the clock only.
-			b.hold(working(run))
+			b.hold(runningLists(run))
 			b.gate.Connect(b.now, testOwner, 1, func() {})
 			b.states()
 			give(b)
 			h := b.gate.NextHold(b.now, 0)
 			b.now += time.Millisecond
-			b.gate.OnHold(b.now, h, Answer{Life: testLife}, HoldAnswer{}, ErrOtherLife)
+			b.gate.OnHold(b.now, h, Answer{Life: testIncarnation}, HoldAnswer{}, ErrOtherLife)
 			if s, told := b.states()[run]; told && s.End != 0 {
 				t.Errorf("reported %+v of a run at work", s)
 			}
-			b.hold(working(run))
-			b.heartbeat(testLife, false)
-			b.holdOf(testLife)
-			if d, known := b.gate.Description(); !known || d.Life != testLife {
-				t.Errorf("described as %+v, known %v, want %v", d, known, testLife)
+			b.hold(runningLists(run))
+			b.heartbeat(testIncarnation, false)
+			b.holdOf(testIncarnation)
+			if d, known := b.gate.Description(); !known || d.Life != testIncarnation {
+				t.Errorf("described as %+v, known %v, want %v", d, known, testIncarnation)
 			}
 		})
 	}
 }
 
 // renamedTarget answers as one incarnation until it is renamed.
-type renamedTarget struct{ life chan Life }
+type renamedTarget struct{ incarnation chan Life }
 
-func (x *renamedTarget) answers(life Life) error {
-	current := <-x.life
-	x.life <- current
-	if life.ID != "" && life.ID != current.ID {
+func (x *renamedTarget) answers(incarnation Life) error {
+	current := <-x.incarnation
+	x.incarnation <- current
+	if incarnation.ID != "" && incarnation.ID != current.ID {
 		return ErrOtherLife
 	}
 	return nil
 }
 
-func (x *renamedTarget) Start(_ context.Context, life Life, _ StartCall) (Answer, error) {
-	return Answer{ClockMS: 7}, x.answers(life)
+func (x *renamedTarget) Start(_ context.Context, incarnation Life, _ StartCall) (Answer, error) {
+	return Answer{ClockMS: 7}, x.answers(incarnation)
 }
 
-func (x *renamedTarget) Stop(_ context.Context, life Life, _ StopCall) (Answer, error) {
-	return Answer{ClockMS: 7}, x.answers(life)
+func (x *renamedTarget) Stop(_ context.Context, incarnation Life, _ StopCall) (Answer, error) {
+	return Answer{ClockMS: 7}, x.answers(incarnation)
 }
 
-func (x *renamedTarget) Hold(_ context.Context, life Life, _ HoldCall) (Answer, HoldAnswer, error) {
-	return Answer{ClockMS: 7}, HoldAnswer{}, x.answers(life)
+func (x *renamedTarget) Hold(_ context.Context, incarnation Life, _ HoldCall) (Answer, HoldAnswer, error) {
+	return Answer{ClockMS: 7}, HoldAnswer{}, x.answers(incarnation)
 }
 
 // A description is also published when a waiting heartbeat is applied with an answer to a hold.
 func TestDescriptionTakenWithAnswerIsTold(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	x := &renamedTarget{life: make(chan Life, 1)}
-	x.life <- testLife
+	x := &renamedTarget{incarnation: make(chan Life, 1)}
+	x.incarnation <- testIncarnation
 	d := NewDriver(ctx, New(Options{Node: "gate-1", Lease: time.Second, Contact: time.Minute, BestEffortContact: time.Minute}), x, logr.Discard())
 	go d.Run(ctx)
-	beat := func(life Life) {
-		d.Heartbeat(Heartbeat{Life: life, Service: "engine", Capacity: job.Resources{CPU: 1000}, Sequence: 1})
+	beat := func(incarnation Life) {
+		d.Heartbeat(Heartbeat{Life: incarnation, Service: "engine", Capacity: job.Resources{CPU: 1000}, Sequence: 1})
 	}
-	await := func(life Life) {
+	await := func(incarnation Life) {
 		t.Helper()
 		select {
 		case got := <-d.Described():
-			if got.Life != life {
-				t.Fatalf("described as %v, want %v", got.Life, life)
+			if got.Life != incarnation {
+				t.Fatalf("described as %v, want %v", got.Life, incarnation)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("%v is never described", life)
+			t.Fatalf("%v is never described", incarnation)
 		}
 	}
-	beat(testLife)
-	await(testLife)
+	beat(testIncarnation)
+	await(testIncarnation)
 	until := time.Now().Add(10 * time.Second)
 	for link := uint64(1); !d.Connect(testOwner, link, func() {}); link++ {
 		if time.Now().After(until) {
 			t.Fatal("the target is never known")
 		}
 	}
-	<-x.life
-	x.life <- newerLife
-	beat(newerLife)
-	await(newerLife)
+	<-x.incarnation
+	x.incarnation <- newerIncarnation
+	beat(newerIncarnation)
+	await(newerIncarnation)
 }
--- a/gate/orders.go
+++ b/gate/orders.go
@@ -136,14 +136,14 @@
 }
 
 // adopt reassigns the runs of ended owner incarnations to the owner that takes over their jobs.
-func (g *Gate) adopt(now Time, owner string, lives []string) {
-	if len(lives) == 0 {
+func (g *Gate) adopt(now Time, owner string, incarnations []string) {
+	if len(incarnations) == 0 {
 		return
 	}
-	for _, life := range lives {
-		g.adopted[life] = owner
+	for _, incarnation := range incarnations {
+		g.adopted[incarnation] = owner
 		for _, r := range g.runs {
-			if r.owner != life {
+			if r.owner != incarnation {
 				continue
 			}
 			if r.bestEffort {
@@ -151,7 +151,7 @@
 			}
 			r.owner = owner
 		}
-		delete(g.owners, life)
+		delete(g.owners, incarnation)
 	}
 	g.owners[owner].inventory = true
 	g.owners[owner].notify()
@@ -226,7 +226,7 @@
 	r.need = v.Need
 	r.bestEffort = v.BestEffort
 	g.record(now, EventClaimed, r, "")
-	if r.atWork() {
+	if r.active() {
 		g.used = g.used.Plus(r.need)
 	}
 	// The run may have ended since the owner was told about it.
--- a/gate/progress.go
+++ b/gate/progress.go
@@ -60,11 +60,11 @@
 		return
 	}
 	expected := min(100*float64(watched)/float64(r.estimate), float64(100-p.percent))
-	standsStill := percent <= p.percent
+	stalled := percent <= p.percent
 	p.measured = true
 	p.behind = float64(percent-p.percent) < behindFactor*expected
 	p.since, p.percent = now, percent
-	if standsStill {
+	if stalled {
 		g.reportBehind(r)
 	}
 }
@@ -91,19 +91,19 @@
 // runs as behind.
 func (g *Gate) detectSlowTarget(now Time) {
 	var behind []*run
-	judged := 0
+	measured := 0
 	jobs := map[job.ID]bool{}
 	for _, r := range g.runs {
 		if r.phase != phaseRunning || !r.progress.measured {
 			continue
 		}
-		judged++
+		measured++
 		if r.progress.behind {
 			behind = append(behind, r)
 			jobs[r.Job] = true
 		}
 	}
-	if len(behind) < slowRuns || len(jobs) < slowJobs || 2*len(behind) < judged {
+	if len(behind) < slowRuns || len(jobs) < slowJobs || 2*len(behind) < measured {
 		return
 	}
 	for _, r := range behind {
--- a/gate/recall.go
+++ b/gate/recall.go
@@ -24,7 +24,7 @@
 
 // Description returns the target's current description; ok is false before the first heartbeat.
 func (g *Gate) Description() (d Description, ok bool) {
-	return Description{Life: g.life, Service: g.service, Capacity: g.capacity, Labels: g.labels, Draining: g.draining}, g.known
+	return Description{Life: g.current, Service: g.service, Capacity: g.capacity, Labels: g.labels, Draining: g.draining}, g.known
 }
 
 // TakeDescription returns the description if it differs from the one last taken or recalled.
@@ -40,13 +40,13 @@
 // Recall provides the description stored by an earlier process of this gate. It takes effect
 // once the incarnation that it names has answered a call.
 func (g *Gate) Recall(d Description) Actions {
-	if g.known || !d.named() || g.endedLives[d.Life] {
+	if g.known || !d.named() || g.endedIncarnations[d.Life] {
 		return Actions{}
 	}
-	if g.life != d.Life && g.life != (Life{}) && !g.identifies(d.Life) {
+	if g.current != d.Life && g.current != (Life{}) && !g.identifies(d.Life) {
 		return Actions{}
 	}
-	g.life = d.Life
+	g.current = d.Life
 	g.recalled = d
 	return Actions{HoldNow: true}
 }
@@ -54,7 +54,7 @@
 // confirmRecalled applies the recalled description if it is of the current incarnation.
 func (g *Gate) confirmRecalled() {
 	d := g.recalled
-	if g.known || !d.named() || d.Life != g.life {
+	if g.known || !d.named() || d.Life != g.current {
 		return
 	}
 	g.known = true
--- a/gate/recall_test.go
+++ b/gate/recall_test.go
@@ -7,7 +7,7 @@
 	"rackspur/job"
 )
 
-var recalled = Description{Life: testLife, Service: "engine", Capacity: job.Resources{CPU: 16000, Memory: 32768}, Labels: []string{"r1"}}
+var recalled = Description{Life: testIncarnation, Service: "engine", Capacity: job.Resources{CPU: 16000, Memory: 32768}, Labels: []string{"r1"}}
 
 // restarted returns a bench whose gate has just started and recalls a description.
 func restarted(t *testing.T, d Description) *bench {
@@ -62,7 +62,7 @@
 	}
 	b = newBench(t)
 	b.gate.Recall(Description{Life: Life{ID: "i-0"}, Service: "other"})
-	if d, _ := b.gate.Description(); d.Life != testLife || d.Service != "engine" {
+	if d, _ := b.gate.Description(); d.Life != testIncarnation || d.Service != "engine" {
 		t.Errorf("described as %v", d)
 	}
 }
--- a/gate/report.go
+++ b/gate/report.go
@@ -184,18 +184,18 @@
 }
 
 func (g *Gate) adoptedBy(owner string) []string {
-	var lives []string
-	for life, by := range g.adopted {
+	var incarnations []string
+	for incarnation, by := range g.adopted {
 		if by == owner {
-			lives = append(lives, life)
+			incarnations = append(incarnations, incarnation)
 		}
 	}
-	return lives
+	return incarnations
 }
 
 func (g *Gate) report(now Time) Report {
 	return Report{
-		Life: g.life.ID, Service: g.service, Capacity: g.capacity, Free: g.capacity.Minus(g.used),
+		Life: g.current.ID, Service: g.service, Capacity: g.capacity, Free: g.capacity.Minus(g.used),
 		Queued: g.queued(), Labels: g.labels, Open: g.Open(now), Evacuated: g.evacuated(), Slowness: g.health.slownessAt(now),
 		Suspect: g.health.suspect && !g.health.mayStart(now),
 	}
--- a/gate/restart_test.go
+++ b/gate/restart_test.go
@@ -13,9 +13,9 @@
 
 // Incarnations of a target that restarts under its id.
 var (
-	firstLife  = Life{ID: "i-1", Born: 1_796_260_000_000}
-	secondLife = Life{ID: "i-1", Born: 1_796_260_030_000}
-	thirdLife  = Life{ID: "i-1", Born: 1_796_260_031_000}
+	firstIncarnation  = Life{ID: "i-1", Born: 1_796_260_000_000}
+	secondIncarnation = Life{ID: "i-1", Born: 1_796_260_030_000}
+	thirdIncarnation  = Life{ID: "i-1", Born: 1_796_260_031_000}
 )
 
 // Clocks of the incarnations at the gate's time zero. The clock of a new incarnation starts
@@ -29,7 +29,7 @@
 // restartBench is a gate beside a target whose incarnations are simulated by the test.
 type restartBench struct {
 	*bench
-	life Life
+	incarnation Life
 	// sequence counts the heartbeats of the incarnation.
 	sequence int64
 }
@@ -37,7 +37,7 @@
 // newRestartBench returns a gate that knows the first incarnation and has acknowledged some
 // ends.
 func newRestartBench(t *testing.T) *restartBench {
-	b := &restartBench{bench: &bench{t: t, now: time.Second, clock: firstClockAt}, life: firstLife}
+	b := &restartBench{bench: &bench{t: t, now: time.Second, clock: firstClockAt}, incarnation: firstIncarnation}
 	b.gate = New(Options{
 		Node: "gate-1", Lease: time.Second, Contact: 1400 * time.Millisecond, BestEffortContact: 850 * time.Millisecond,
 		Unix: func() int64 { return 1_796_260_000_000 + b.now.Milliseconds() },
@@ -68,8 +68,8 @@
 }
 
 // restart restarts the target.
-func (b *restartBench) restart(life Life, clockAt int64) {
-	b.life = life
+func (b *restartBench) restart(incarnation Life, clockAt int64) {
+	b.incarnation = incarnation
 	b.clock = clockAt - b.now.Milliseconds()
 	b.sequence = 0
 }
@@ -77,13 +77,13 @@
 // beat sends the next heartbeat of the current incarnation.
 func (b *restartBench) beat(draining bool) (believed bool) {
 	b.sequence++
-	_, believed = b.gate.OnHeartbeat(b.now, b.heartbeatOf(b.life, b.sequence, draining))
+	_, believed = b.gate.OnHeartbeat(b.now, b.heartbeatOf(b.incarnation, b.sequence, draining))
 	return believed
 }
 
-func (b *restartBench) heartbeatOf(life Life, sequence int64, draining bool) Heartbeat {
+func (b *restartBench) heartbeatOf(incarnation Life, sequence int64, draining bool) Heartbeat {
 	return Heartbeat{
-		Life: life, Service: "engine", Capacity: job.Resources{CPU: 16000, Memory: 32768},
+		Life: incarnation, Service: "engine", Capacity: job.Resources{CPU: 16000, Memory: 32768},
 		Draining: draining, ClockMS: b.targetClock(), Sequence: sequence,
 	}
 }
@@ -98,7 +98,7 @@
 
 // answered delivers the target's answer to a hold.
 func (b *restartBench) answered(h Hold, lists HoldAnswer) {
-	b.gate.OnHold(b.now, h, Answer{ClockMS: b.targetClock(), Life: Life{Born: b.life.Born}}, lists, nil)
+	b.gate.OnHold(b.now, h, Answer{ClockMS: b.targetClock(), Life: Life{Born: b.incarnation.Born}}, lists, nil)
 }
 
 // startRun starts a best-effort run.
@@ -125,12 +125,12 @@
 		b := newRestartBench(t)
 		name := testRun("aa", 0, 1)
 		b.startRun(name)
-		b.answer(working(name))
+		b.answer(runningLists(name))
 		b.states()
-		b.restart(secondLife, clockAt)
+		b.restart(secondIncarnation, clockAt)
 		b.answer(HoldAnswer{})
-		if b.gate.life != secondLife {
-			t.Fatalf("life %v after an answer of the new one", b.gate.life)
+		if b.gate.current != secondIncarnation {
+			t.Fatalf("incarnation %v after an answer of the new one", b.gate.current)
 		}
 		if s, told := b.states()[name]; told {
 			t.Errorf("reported %+v before the new incarnation has listed its runs", s)
@@ -154,14 +154,14 @@
 			b := newRestartBench(t)
 			name := testRun("aa", 0, 1)
 			a := b.orderBy(testOwner, b.now, name)
-			b.restart(secondLife, clockAt)
+			b.restart(secondIncarnation, clockAt)
 			if answered {
 				b.started(a)
 			} else {
 				b.gate.OnStart(b.now, a.Life, a.Starts[0], Answer{}, ErrUnanswered)
 			}
-			b.answer(working(name))
-			b.answer(working(name))
+			b.answer(runningLists(name))
+			b.answer(runningLists(name))
 			if s := b.states()[name]; s.End != 0 {
 				t.Fatalf("reported %+v of a run at work (start answered %v)", s, answered)
 			}
@@ -186,7 +186,7 @@
 	b := newRestartBench(t)
 	h := b.gate.NextHold(b.now, 0)
 	b.gate.OnHold(b.now, h, Answer{}, HoldAnswer{}, ErrUnanswered)
-	b.restart(secondLife, behindClockAt)
+	b.restart(secondIncarnation, behindClockAt)
 	if h := b.answer(HoldAnswer{}); h.Call.Seen != 0 {
 		t.Errorf("a hold to a target that may have restarted acknowledges ends up to %d", h.Call.Seen)
 	}
@@ -199,7 +199,7 @@
 // call has failed.
 func TestClaimNotesNoEnds(t *testing.T) {
 	b := newRestartBench(t)
-	b.restart(secondLife, behindClockAt)
+	b.restart(secondIncarnation, behindClockAt)
 	b.beat(false)
 	if h := b.answer(HoldAnswer{}); h.Call.Seen != 0 {
 		t.Errorf("the hold that asks which incarnation is running acknowledges ends up to %d", h.Call.Seen)
@@ -225,7 +225,7 @@
 	clocksOfRestart(t, func(t *testing.T, clockAt int64) {
 		b := newRestartBench(t)
 		former := b.gate.fence
-		b.restart(secondLife, clockAt)
+		b.restart(secondIncarnation, clockAt)
 		b.answer(HoldAnswer{})
 		if h := b.answer(HoldAnswer{}); h.Call.Fence <= former {
 			t.Errorf("token %d for the new incarnation, %d for the former", h.Call.Fence, former)
@@ -256,7 +256,7 @@
 	clocksOfRestart(t, func(t *testing.T, clockAt int64) {
 		b := newRestartBench(t)
 		b.startRun(testRun("aa", 0, 1))
-		b.restart(secondLife, clockAt)
+		b.restart(secondIncarnation, clockAt)
 		b.answer(HoldAnswer{})
 		if h := b.answer(HoldAnswer{}); h.Call.UntilMS != 0 {
 			t.Errorf("leased until %d before the new incarnation has listed its runs", h.Call.UntilMS)
@@ -264,7 +264,7 @@
 		b.beat(false)
 		name := testRun("bb", 0, 1)
 		b.startRun(name)
-		h := b.answer(working(name))
+		h := b.answer(runningLists(name))
 		if left := h.Call.UntilMS - b.targetClock(); left <= 0 || left > 1000 {
 			t.Errorf("leased for %d ms from now, want up to 1000", left)
 		}
@@ -279,7 +279,7 @@
 func TestRestartDraining(t *testing.T) {
 	for _, answered := range []bool{false, true} {
 		b := newRestartBench(t)
-		b.restart(secondLife, behindClockAt)
+		b.restart(secondIncarnation, behindClockAt)
 		if answered {
 			b.answer(HoldAnswer{})
 			b.answer(HoldAnswer{})
@@ -304,7 +304,7 @@
 func TestRestartAfterDraining(t *testing.T) {
 	b := newRestartBench(t)
 	b.beat(true)
-	b.restart(secondLife, behindClockAt)
+	b.restart(secondIncarnation, behindClockAt)
 	b.answer(HoldAnswer{})
 	b.answer(HoldAnswer{})
 	if b.open() {
@@ -323,14 +323,14 @@
 		word func(b *restartBench, sentBefore Hold)
 	}{
 		{"a heartbeat", func(b *restartBench, _ Hold) {
-			if _, believed := b.gate.OnHeartbeat(b.now, b.heartbeatOf(firstLife, 90, true)); believed {
+			if _, believed := b.gate.OnHeartbeat(b.now, b.heartbeatOf(firstIncarnation, 90, true)); believed {
 				b.t.Error("a heartbeat of the previous incarnation is trusted")
 			}
 		}},
-		{"a deregistration", func(b *restartBench, _ Hold) { b.gate.OnDeregister(b.now, firstLife) }},
+		{"a deregistration", func(b *restartBench, _ Hold) { b.gate.OnDeregister(b.now, firstIncarnation) }},
 		{"lists", func(b *restartBench, h Hold) {
 			lists := HoldAnswer{Finished: []Ended{{Number: 6, Name: testRun("bb", 0, 1), Kind: EndDone}}}
-			b.gate.OnHold(b.now, h, Answer{ClockMS: firstClockAt + b.now.Milliseconds(), Life: Life{Born: firstLife.Born}}, lists, nil)
+			b.gate.OnHold(b.now, h, Answer{ClockMS: firstClockAt + b.now.Milliseconds(), Life: Life{Born: firstIncarnation.Born}}, lists, nil)
 		}},
 		{"a call that failed", func(b *restartBench, h Hold) {
 			b.gate.OnHold(b.now, h, Answer{ClockMS: firstClockAt * 9}, HoldAnswer{}, ErrFenced)
@@ -343,18 +343,18 @@
 			name := testRun("bb", 0, 1)
 			sentBefore := b.gate.NextHold(b.now, 0)
 			b.now += time.Millisecond
-			b.restart(secondLife, behindClockAt)
+			b.restart(secondIncarnation, behindClockAt)
 			b.answer(HoldAnswer{})
 			b.answer(HoldAnswer{})
 			b.beat(false)
 			b.startRun(name)
-			b.answer(working(name))
+			b.answer(runningLists(name))
 			b.states()
 			fence := b.gate.fence
 			test.word(b, sentBefore)
-			b.answer(working(name))
-			if b.gate.life != secondLife || b.gate.fence != fence || !b.open() {
-				t.Errorf("life %v, token %d (was %d), open %v", b.gate.life, b.gate.fence, fence, b.open())
+			b.answer(runningLists(name))
+			if b.gate.current != secondIncarnation || b.gate.fence != fence || !b.open() {
+				t.Errorf("incarnation %v, token %d (was %d), open %v", b.gate.current, b.gate.fence, fence, b.open())
 			}
 			if s, told := b.states()[name]; told {
 				t.Errorf("reported %+v", s)
@@ -374,14 +374,14 @@
 	b.now += 300 * time.Millisecond
 	early := b.gate.NextHold(b.now, 0)
 	b.now += time.Millisecond
-	b.restart(secondLife, behindClockAt)
+	b.restart(secondIncarnation, behindClockAt)
 	b.answer(HoldAnswer{})
 	b.beat(false)
 	b.answer(HoldAnswer{})
-	b.gate.OnHold(b.now, early, Answer{ClockMS: aheadClockAt, Life: Life{Born: firstLife.Born}}, HoldAnswer{}, nil)
+	b.gate.OnHold(b.now, early, Answer{ClockMS: aheadClockAt, Life: Life{Born: firstIncarnation.Born}}, HoldAnswer{}, nil)
 	b.answer(HoldAnswer{})
-	if b.gate.life != secondLife || !b.gate.Open(b.now) {
-		t.Errorf("life %v, open %v, want the new one and open", b.gate.life, b.gate.Open(b.now))
+	if b.gate.current != secondIncarnation || !b.gate.Open(b.now) {
+		t.Errorf("incarnation %v, open %v, want the new one and open", b.gate.current, b.gate.Open(b.now))
 	}
 }
 
@@ -391,9 +391,9 @@
 	b := newRestartBench(t)
 	name := testRun("aa", 0, 1)
 	b.startRun(name)
-	b.answer(working(name))
+	b.answer(runningLists(name))
 	b.states()
-	untold := Life{ID: firstLife.ID}
+	untold := Life{ID: firstIncarnation.ID}
 	if _, believed := b.gate.OnHeartbeat(b.now, b.heartbeatOf(untold, 99, true)); believed {
 		t.Error("a heartbeat is trusted")
 	}
@@ -404,11 +404,11 @@
 	b.now += time.Millisecond
 	lists := HoldAnswer{Finished: []Ended{{Number: 6, Name: name, Kind: EndDone}}}
 	b.gate.OnHold(b.now, h, Answer{ClockMS: b.targetClock()}, lists, nil)
-	if s, told := b.states()[name]; told || !b.open() || b.gate.life != firstLife {
-		t.Errorf("reported %v %+v, open %v, life %v", told, s, b.open(), b.gate.life)
+	if s, told := b.states()[name]; told || !b.open() || b.gate.current != firstIncarnation {
+		t.Errorf("reported %v %+v, open %v, incarnation %v", told, s, b.open(), b.gate.current)
 	}
-	b.answer(working(name))
-	if h := b.answer(working(name)); h.Call.Seen != 5 {
+	b.answer(runningLists(name))
+	if h := b.answer(runningLists(name)); h.Call.Seen != 5 {
 		t.Errorf("acknowledged up to %d, want 5", h.Call.Seen)
 	}
 }
@@ -421,7 +421,7 @@
 		name := testRun("aa", 0, 1)
 		b.started(b.order(true, name))
 		b.answer(HoldAnswer{Finished: []Ended{{Number: 6, Name: name, Kind: EndDone}}})
-		b.restart(secondLife, behindClockAt)
+		b.restart(secondIncarnation, behindClockAt)
 		b.answer(HoldAnswer{})
 		b.answer(HoldAnswer{})
 		b.beat(false)
@@ -439,10 +439,10 @@
 func TestRestartGivesQueueBack(t *testing.T) {
 	b := newRestartBench(t)
 	b.startRun(testRun("aa", 0, 1))
-	waiting := wide("bb")
+	waiting := fullOrder("bb")
 	b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, Sequence: 3, Starts: []Order{waiting}})
 	b.states()
-	b.restart(secondLife, behindClockAt)
+	b.restart(secondIncarnation, behindClockAt)
 	b.answer(HoldAnswer{})
 	if s := b.states()[waiting.Name]; s.End != EndRejected {
 		t.Errorf("reported %+v of the run that waits, want it returned", s)
@@ -452,19 +452,19 @@
 // Two restarts happen between two answers, the second one also under another id but with the
 // same start time.
 func TestRestartTwice(t *testing.T) {
-	for _, last := range []Life{thirdLife, {ID: "i-2", Born: firstLife.Born}} {
+	for _, last := range []Life{thirdIncarnation, {ID: "i-2", Born: firstIncarnation.Born}} {
 		b := newRestartBench(t)
 		name := testRun("aa", 0, 1)
 		b.startRun(name)
-		b.answer(working(name))
+		b.answer(runningLists(name))
 		b.states()
-		b.restart(secondLife, behindClockAt)
+		b.restart(secondIncarnation, behindClockAt)
 		b.beat(false)
 		b.restart(last, behindClockAt)
 		b.beat(false)
 		h := b.gate.NextHold(b.now, 0)
 		b.now += time.Millisecond
-		if last.ID != firstLife.ID {
+		if last.ID != firstIncarnation.ID {
 			b.gate.OnHold(b.now, h, Answer{Life: Life{ID: last.ID}}, HoldAnswer{}, ErrOtherLife)
 		} else {
 			b.answered(h, HoldAnswer{})
@@ -474,8 +474,8 @@
 		if s := b.states()[name]; s.End != EndLost {
 			t.Errorf("reported %+v, want the run lost", s)
 		}
-		if b.gate.life != last || !b.open() {
-			t.Errorf("life %v, open %v, want %v and open", b.gate.life, b.open(), last)
+		if b.gate.current != last || !b.open() {
+			t.Errorf("incarnation %v, open %v, want %v and open", b.gate.current, b.open(), last)
 		}
 	}
 }
@@ -486,9 +486,9 @@
 	b := newRestartBench(t)
 	name := testRun("aa", 0, 1)
 	b.startRun(name)
-	b.answer(working(name))
+	b.answer(runningLists(name))
 	b.states()
-	b.restart(secondLife, behindClockAt)
+	b.restart(secondIncarnation, behindClockAt)
 	b.answer(HoldAnswer{})
 	for begun := b.now; b.now-begun < 1500*time.Millisecond; b.now += tickInterval {
 		b.gate.Tick(b.now)
@@ -507,16 +507,16 @@
 // A new process of the gate does not apply a stored description of a previous incarnation, nor
 // one that does not identify its incarnation.
 func TestRecallOfFormerLife(t *testing.T) {
-	for _, life := range []Life{firstLife, {ID: firstLife.ID}} {
+	for _, incarnation := range []Life{firstIncarnation, {ID: firstIncarnation.ID}} {
 		b := newRestartBench(t)
 		b.gate = New(b.gate.options)
-		b.restart(secondLife, behindClockAt)
-		b.gate.Recall(Description{Life: life, Service: "engine", Capacity: job.Resources{CPU: 16000}, Draining: true})
+		b.restart(secondIncarnation, behindClockAt)
+		b.gate.Recall(Description{Life: incarnation, Service: "engine", Capacity: job.Resources{CPU: 16000}, Draining: true})
 		for range 3 {
 			b.answer(HoldAnswer{})
 		}
 		if d, known := b.gate.Description(); known {
-			t.Errorf("described as %+v by a description of %v", d, life)
+			t.Errorf("described as %+v by a description of %v", d, incarnation)
 		}
 		b.beat(false)
 		b.answer(HoldAnswer{})
@@ -531,7 +531,7 @@
 func TestHeartbeatOfOtherService(t *testing.T) {
 	b := newRestartBench(t)
 	b.gate.options.Service = "engine"
-	bad := b.heartbeatOf(firstLife, 1_000_000, true)
+	bad := b.heartbeatOf(firstIncarnation, 1_000_000, true)
 	bad.Service = "somebody-elses"
 	bad.Capacity = job.Resources{CPU: 1}
 	if _, believed := b.gate.OnHeartbeat(b.now, bad); believed {
@@ -555,9 +555,9 @@
 	b := newRestartBench(t)
 	name := testRun("aa", 0, 1)
 	b.startRun(name)
-	b.answer(working(name))
+	b.answer(runningLists(name))
 	b.states()
-	bad := b.heartbeatOf(firstLife, 1_000_000, false)
+	bad := b.heartbeatOf(firstIncarnation, 1_000_000, false)
 	bad.ClockMS = 1 << 50
 	b.gate.OnHeartbeat(b.now, bad)
 	b.now += 800 * time.Millisecond // Exceeds maxHoldSilence.
@@ -572,7 +572,7 @@
 	b := newRestartBench(t)
 	name := testRun("aa", 0, 1)
 	b.startRun(name)
-	b.answer(working(name))
+	b.answer(runningLists(name))
 	b.states()
 	b.answer(HoldAnswer{Partial: true})
 	if s, told := b.states()[name]; told {
@@ -610,7 +610,7 @@
 	if !b.gate.health.suspect {
 		t.Fatal("not suspect after three failures")
 	}
-	b.restart(secondLife, behindClockAt)
+	b.restart(secondIncarnation, behindClockAt)
 	b.answer(HoldAnswer{})
 	b.answer(HoldAnswer{})
 	b.beat(false)
@@ -625,9 +625,9 @@
 	a := b.startRun(name)
 	stop := StopCall{Name: name, Fence: a.Starts[0].Fence}
 	b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, Sequence: 2, Stops: []job.RunName{name}})
-	b.restart(secondLife, behindClockAt)
-	b.answer(working(name))
-	b.answer(working(name))
+	b.restart(secondIncarnation, behindClockAt)
+	b.answer(runningLists(name))
+	b.answer(runningLists(name))
 	clock := b.gate.targetClock(b.now)
 	b.gate.OnStop(b.now, a.Life, stop, Answer{ClockMS: aheadClockAt}, nil)
 	b.gate.OnStart(b.now, a.Life, a.Starts[0], Answer{ClockMS: aheadClockAt}, nil)
@@ -643,7 +643,7 @@
 // is acknowledged.
 func TestOvertakenDraining(t *testing.T) {
 	b := newRestartBench(t)
-	leaving := b.heartbeatOf(firstLife, b.sequence+1, true)
+	leaving := b.heartbeatOf(firstIncarnation, b.sequence+1, true)
 	b.sequence++
 	b.beat(false)
 	if _, believed := b.gate.OnHeartbeat(b.now, leaving); !believed || b.open() {
@@ -660,7 +660,7 @@
 	b.startRun(name)
 	b.answer(HoldAnswer{Finished: []Ended{{Number: 6, Name: name, Kind: EndDone}}})
 	b.gate.NextHold(b.now, holdWait)
-	b.restart(secondLife, behindClockAt)
+	b.restart(secondIncarnation, behindClockAt)
 	b.now += 80 * time.Millisecond
 	b.verdict(name, VerdictNote)
 	beside := b.gate.NextHold(b.now, 0)
@@ -680,7 +680,7 @@
 	b.verdict(name, VerdictNote)
 	beside := b.gate.NextHold(b.now, 0)
 	b.now += time.Millisecond
-	a := b.gate.OnHold(b.now, beside, Answer{ClockMS: b.targetClock(), Life: Life{Born: b.life.Born}}, HoldAnswer{}, nil)
+	a := b.gate.OnHold(b.now, beside, Answer{ClockMS: b.targetClock(), Life: Life{Born: b.incarnation.Born}}, HoldAnswer{}, nil)
 	if !a.HoldNow {
 		t.Fatal("no hold follows that acknowledges the end")
 	}
@@ -713,13 +713,13 @@
 			b := newRestartBench(t)
 			b.gate.options.LongestLease = test.longest
 			b.gate.NextHold(b.now, holdWait)
-			b.restart(secondLife, test.clockAt)
+			b.restart(secondIncarnation, test.clockAt)
 			b.beat(false)
 			b.answer(HoldAnswer{})
 			b.answer(HoldAnswer{})
 			name := testRun("aa", 0, 1)
 			b.startRun(name)
-			b.answer(working(name))
+			b.answer(runningLists(name))
 			last := b.now
 			lost := func(after time.Duration) bool {
 				b.now = last + after
--- a/gate/retry_test.go
+++ b/gate/retry_test.go
@@ -110,16 +110,16 @@
 
 // lossyHolds answers only every second hold.
 type lossyHolds struct {
-	hangingExecutor
+	hangingTarget
 	holds atomic.Int32
-	// longest is the maximum number of holds in flight.
-	underWay, longest atomic.Int32
+	// maxUnderWay is the maximum number of holds in flight.
+	underWay, maxUnderWay atomic.Int32
 }
 
 func (e *lossyHolds) Hold(ctx context.Context, _ Life, _ HoldCall) (Answer, HoldAnswer, error) {
 	n := e.underWay.Add(1)
 	defer e.underWay.Add(-1)
-	e.longest.Store(max(e.longest.Load(), n))
+	e.maxUnderWay.Store(max(e.maxUnderWay.Load(), n))
 	if e.holds.Add(1)%2 == 0 {
 		<-ctx.Done()
 		return Answer{}, HoldAnswer{}, ErrUnanswered
@@ -136,13 +136,13 @@
 	g := New(Options{Node: "gate-1", Lease: time.Second, Contact: time.Minute, BestEffortContact: time.Minute})
 	d := NewDriver(ctx, g, e, logr.Discard())
 	go d.Run(ctx)
-	d.Heartbeat(Heartbeat{Life: testLife, Service: "engine", Sequence: 1})
+	d.Heartbeat(Heartbeat{Life: testIncarnation, Service: "engine", Sequence: 1})
 	until := time.Now().Add(30 * time.Second)
 	for e.holds.Load() < 20 && time.Now().Before(until) {
 		<-time.After(time.Millisecond)
 	}
-	if e.holds.Load() < 20 || e.longest.Load() >= maxHolds {
-		t.Errorf("%d holds, %d at once", e.holds.Load(), e.longest.Load())
+	if e.holds.Load() < 20 || e.maxUnderWay.Load() >= maxHolds {
+		t.Errorf("%d holds, %d at once", e.holds.Load(), e.maxUnderWay.Load())
 	}
 }
 
@@ -200,7 +200,7 @@
 
 // lateHolds answers some holds after their timeout, and counts those cancelled before.
 type lateHolds struct {
-	hangingExecutor
+	hangingTarget
 	holds, ended atomic.Int32
 }
 
@@ -226,7 +226,7 @@
 		g := New(Options{Node: "gate-1", Lease: time.Second, Contact: time.Minute, BestEffortContact: time.Minute})
 		d := NewDriver(ctx, g, e, logr.Discard())
 		go d.Run(ctx)
-		d.Heartbeat(Heartbeat{Life: testLife, Service: "engine", Sequence: 1})
+		d.Heartbeat(Heartbeat{Life: testIncarnation, Service: "engine", Sequence: 1})
 		wait.For(ctx, 30*time.Second)
 		if holds, ended := e.holds.Load(), e.ended.Load(); holds < 100 || ended > 0 {
 			t.Errorf("%d of %d holds ended early", ended, holds)
--- a/gate/silence_test.go
+++ b/gate/silence_test.go
@@ -7,16 +7,16 @@
 	"rackspur/job"
 )
 
-// wide returns an order that takes the whole capacity of the test target.
-func wide(id job.ID) Order {
+// fullOrder returns an order that takes the whole capacity of the test target.
+func fullOrder(id job.ID) Order {
 	return Order{Name: testRun(id, 0, 1), Need: job.Resources{CPU: 16000}, Estimate: 100 * time.Millisecond, BestEffort: true}
 }
 
 // orderTwo orders run a1, which starts, and run a2, which is queued.
 func (b *bench) orderTwo() Actions {
 	b.gate.Flush(b.now, testOwner, 1)
-	a, _ := b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, Sequence: 1, Starts: []Order{wide("a1")}})
-	b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, Sequence: 2, Starts: []Order{wide("a2")}})
+	a, _ := b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, Sequence: 1, Starts: []Order{fullOrder("a1")}})
+	b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, Sequence: 2, Starts: []Order{fullOrder("a2")}})
 	return a
 }
 
@@ -51,7 +51,7 @@
 	if b.open() {
 		t.Error("open beside a silent target")
 	}
-	b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, Sequence: 3, Starts: []Order{wide("a3")}})
+	b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, Sequence: 3, Starts: []Order{fullOrder("a3")}})
 	if ends := b.ends(); ends["a3"] != EndRejected {
 		t.Errorf("an order was accepted: %v", ends)
 	}
@@ -87,7 +87,7 @@
 	b := newBench(t)
 	name := testRun("aa", 0, 1)
 	b.started(b.orderBy(testOwner, b.now, name))
-	b.hold(working(name))
+	b.hold(runningLists(name))
 	b.now += 200 * time.Millisecond
 	b.gate.Tick(b.now)
 	b.now += 680 * time.Millisecond // The process is suspended; the lease stays valid.
--- a/gate/start.go
+++ b/gate/start.go
@@ -6,9 +6,9 @@
 
 // startFromQueue starts as many queued runs as fit, in order of rank.
 func (g *Gate) startFromQueue(now Time, a Actions) Actions {
-	a.Life = g.life
+	a.Life = g.current
 	g.reportOpen(now)
-	if !g.Open(now) || !g.life.named() {
+	if !g.Open(now) || !g.current.named() {
 		g.rejectQueue("closed")
 		return a
 	}
@@ -51,7 +51,7 @@
 // nextStep decides how to handle the run at the head of the queue.
 func (g *Gate) nextStep(now Time, r *run) startStep {
 	switch {
-	case g.olderRunAtWork(r) || !g.leaseAllowsStart(now, r):
+	case g.olderRunActive(r) || !g.leaseAllowsStart(now, r):
 		return stepSetAside
 	case g.ownerSilent(now, r):
 		return stepReject
@@ -63,11 +63,11 @@
 	return stepStart
 }
 
-// olderRunAtWork reports whether another run of the same task is active here: one of a previous
+// olderRunActive reports whether another run of the same task is active here: one of a previous
 // owner of the job, or one that is being stopped.
-func (g *Gate) olderRunAtWork(r *run) bool {
+func (g *Gate) olderRunActive(r *run) bool {
 	for name, other := range g.runs {
-		if name.TaskName == r.TaskName && other != r && other.atWork() {
+		if name.TaskName == r.TaskName && other != r && other.active() {
 			return true
 		}
 	}
@@ -97,22 +97,22 @@
 	return false
 }
 
-// atWork reports whether a run was started and has not ended.
-func (r *run) atWork() bool {
+// active reports whether a run was started and has not ended.
+func (r *run) active() bool {
 	return r.phase != phaseQueued && r.phase != phaseEnded
 }
 
 // release frees the resources of a run that is ending.
 func (g *Gate) release(r *run) {
-	if r.atWork() {
+	if r.active() {
 		g.used = g.used.Minus(r.need)
 	}
 }
 
 // OnStart handles the answer to a start.
-func (g *Gate) OnStart(now Time, life Life, c StartCall, ans Answer, err error) Actions {
+func (g *Gate) OnStart(now Time, incarnation Life, c StartCall, ans Answer, err error) Actions {
 	r := g.runs[c.Name]
-	if life != g.life || r == nil || r.phase != phaseStarting {
+	if incarnation != g.current || r == nil || r.phase != phaseStarting {
 		return Actions{}
 	}
 	g.recordAnswer(now, ans, err)
@@ -145,9 +145,9 @@
 }
 
 // OnStop handles the answer to a stop.
-func (g *Gate) OnStop(now Time, life Life, c StopCall, ans Answer, err error) Actions {
+func (g *Gate) OnStop(now Time, incarnation Life, c StopCall, ans Answer, err error) Actions {
 	r := g.runs[c.Name]
-	if life != g.life || r == nil {
+	if incarnation != g.current || r == nil {
 		return Actions{}
 	}
 	g.recordAnswer(now, ans, err)
--- a/gate/stop.go
+++ b/gate/stop.go
@@ -49,9 +49,9 @@
 
 // sendStops sends the stops that are due.
 func (g *Gate) sendStops(now Time, a Actions) Actions {
-	a.Life = g.life
+	a.Life = g.current
 	for _, r := range g.runs {
-		if !r.atWork() || !r.mustStop {
+		if !r.active() || !r.mustStop {
 			continue
 		}
 		if r.stopSent != 0 && now-r.stopSent < stopInterval {
