--- a/gate/evacuation_test.go
+++ b/gate/evacuation_test.go
@@ -53,7 +53,7 @@
 
 	a := b.news(5, testDomain)
 	if len(a.Starts) != 0 || len(a.Stops) != 0 {
-		t.Errorf("%d starts and %d stops by the evacuation, want none", len(a.Starts), len(a.Stops))
+		t.Errorf("%d starts and %d stops after the evacuation, want none", len(a.Starts), len(a.Stops))
 	}
 	if got := b.rejected(); len(got) != 1 {
 		t.Errorf("returned %v, want the one that waited", got)
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -282,7 +282,7 @@
 	}
 	b.now += fullPause
 	if a = b.gate.Tick(b.now); len(a.Starts) != 0 {
-		t.Errorf("%d starts after a pause beside a run that nobody has claimed, want 0", len(a.Starts))
+		t.Errorf("%d starts after a pause beside an unclaimed run, want 0", len(a.Starts))
 	}
 	if a = b.verdict(found, VerdictClaim); len(a.Starts) != 1 {
 		t.Errorf("%d starts after the claim, want 1", len(a.Starts))
@@ -345,7 +345,7 @@
 	}
 	b.gate.OnFrame(b.now, testOwner, 1, f)
 	if most := 16000 * QueueShare / 1000; b.gate.queued().CPU > most {
-		t.Errorf("%d of cpu wait, want %d at most", b.gate.queued().CPU, most)
+		t.Errorf("%d of CPU queued, want %d at most", b.gate.queued().CPU, most)
 	}
 	if first := b.gate.queue.first(); first == nil || first.RunName != names[len(names)-1] {
 		t.Errorf("first %+v, want the most urgent", first)
--- a/gate/holdload_test.go
+++ b/gate/holdload_test.go
@@ -134,16 +134,16 @@
 }
 
 // holdsAtTheTarget runs a gate beside a target for 20 s.
-func holdsAtTheTarget(t *testing.T, fate func(int) time.Duration, ending time.Duration, poked bool, most int, heardWithin time.Duration) {
+func holdsAtTheTarget(t *testing.T, delay func(int) time.Duration, ending time.Duration, requested bool, most int, maxGap time.Duration) {
 	ctx, cancel := context.WithCancel(t.Context())
-	x := &loadedTarget{delay: fate, ending: ending}
+	x := &loadedTarget{delay: delay, ending: ending}
 	g := New(Options{Node: "gate-1", Lease: time.Second, Contact: time.Minute, BestEffortContact: time.Minute})
 	d := NewDriver(ctx, g, x, logr.Discard())
 	go d.Run(ctx)
 	d.Heartbeat(Heartbeat{Life: testIncarnation, Service: "engine", Sequence: 1})
 	for i := range 400 {
 		wait.For(ctx, 50*time.Millisecond)
-		if poked && i%7 == 0 {
+		if requested && i%7 == 0 {
 			d.requestHold()
 		}
 	}
@@ -155,8 +155,8 @@
 	if x.maxOpen > most {
 		t.Errorf("calls end %v after their cancellation: %d holds, %d at once, want %d at most", ending, x.holds, x.maxOpen, most)
 	}
-	if heardWithin > 0 && x.longestGap > heardWithin {
-		t.Errorf("calls end %v after their cancellation: %v without an answer, want %v at most", ending, x.longestGap, heardWithin)
+	if maxGap > 0 && x.longestGap > maxGap {
+		t.Errorf("calls end %v after their cancellation: %v without an answer, want %v at most", ending, x.longestGap, maxGap)
 	}
 	t.Logf("ending %v: %d holds, %d at once, %d cancelled, longest gap %v", ending, x.holds, x.maxOpen, x.cancelled, x.longestGap)
 }
--- a/gate/lease_test.go
+++ b/gate/lease_test.go
@@ -14,7 +14,7 @@
 	b.hold(runningLists(found))
 	granted := b.gate.grantedMS
 	if a := b.order(true, next); len(a.Starts) != 0 {
-		t.Fatalf("started %v beside a run that nobody has claimed", a.Starts)
+		t.Fatalf("started %v beside an unclaimed run", a.Starts)
 	}
 	for b.now-time.Second < unclaimedWait {
 		h, a := b.hold(runningLists(found))
@@ -101,7 +101,7 @@
 		b.now += 49 * time.Millisecond
 	}
 	if a := b.orderBy(testOwner, old, testRun("aa", 0, 1)); len(a.Starts) != 0 {
-		t.Fatal("started under a lease that is too long for its owner's proof")
+		t.Fatal("started under a lease that is too long for its owner's last contact")
 	}
 	if a := b.orderBy(secondOwner, b.now, testRun("cc", 0, 1)); len(a.Starts) != 1 {
 		t.Errorf("%d starts of the owner in contact, want 1", len(a.Starts))
--- a/gate/leftover_test.go
+++ b/gate/leftover_test.go
@@ -17,7 +17,7 @@
 	// submits the job again (the setting retransmitMs).
 	callerWait = 1300 * time.Millisecond
 	// keptOver is how long after the last contact with a gate its owners assume that runs of
-	// durable jobs may be active (owner.overAfter: contact, longest lease, margin).
+	// durable jobs may be active: contact, longest lease and a margin.
 	keptOver = 1400*time.Millisecond + 1030*time.Millisecond + 250*time.Millisecond
 	// maxLeaseWatch stops a loop over leases that are renewed endlessly.
 	maxLeaseWatch = 6 * time.Second
@@ -103,7 +103,7 @@
 			}
 			b.now += 50 * time.Millisecond
 			if a := b.orderBy(tc.owner, b.now, newer); len(a.Starts) != 0 {
-				t.Fatalf("run %d starts while run %d of the task is at work", newer.Run, older.Run)
+				t.Fatalf("run %d starts while run %d of the task is active", newer.Run, older.Run)
 			}
 			_, a := b.hold(HoldAnswer{Finished: []Ended{{Number: 1, Name: older, Kind: EndStopped}}})
 			if len(a.Starts) != 1 || a.Starts[0].Name != newer {
@@ -123,7 +123,7 @@
 	b.gate.Flush(b.now, secondOwner, 1)
 	answered := len(b.orderBy(secondOwner, b.now, name).Starts) > 0
 	if answered {
-		t.Fatal("started while a run of the task is at work")
+		t.Fatal("started while a run of the task is active")
 	}
 	_, a := b.hold(HoldAnswer{Finished: []Ended{{Number: 1, Name: name, Kind: EndStopped}}})
 	answered = len(a.Starts) > 0
@@ -221,7 +221,7 @@
 			b.now += 49 * time.Millisecond
 		}
 		if a := b.orderBy(testOwner, echo, name); len(a.Starts) > 0 && lease > echo+callerWait {
-			t.Errorf("proof %v old: started under a lease that ends %v after it, want %v at most", age, lease-echo, callerWait)
+			t.Errorf("last contact %v ago: started under a lease that ends %v after it, want %v at most", age, lease-echo, callerWait)
 		}
 	}
 }
@@ -277,7 +277,7 @@
 	}
 }
 
-// The same as TestKeptLeaseEndsBeforeRunsCountAsOver, whose loop ends with the first lease,
+// The same as TestKeptLeaseEndsBeforeRunsCountAsOver, whose loop ends after its first hold, but
 // over the whole time.
 func TestKeptLeaseEndsBeforeRunsCountAsOverWhole(t *testing.T) {
 	b := newBench(t)
@@ -310,8 +310,8 @@
 	}
 }
 
-// The same as TestLeaseOfStoppedRunEnds, but with an owner that stays in contact, over the
-// whole time.
+// The same as TestLeaseOfStoppedRunEnds, whose loop ends after its first hold, but over the
+// whole time and with an owner that stays in contact, so that only the stop ends the lease.
 func TestLeaseOfStoppedRunEndsWithOwnerInTouch(t *testing.T) {
 	b := newBench(t)
 	name := testRun("aa", 0, 1)
@@ -338,7 +338,7 @@
 	b.hold(runningLists(name)) // The start is carried out late.
 	ordered, lease := b.leasedAfterStop(name)
 	if lease-ordered > callerWait {
-		t.Errorf("leased for %v after the owner has given the run up, want %v at most", lease-ordered, callerWait)
+		t.Errorf("leased for %v after the owner has given up the run, want %v at most", lease-ordered, callerWait)
 	}
 }
 
@@ -354,7 +354,7 @@
 	b.now += 50 * time.Millisecond
 	ordered, lease := b.leasedAfterStop(name)
 	if lease-ordered > callerWait {
-		t.Errorf("leased for %v after the owner has given the run up, want %v at most", lease-ordered, callerWait)
+		t.Errorf("leased for %v after the owner has given up the run, want %v at most", lease-ordered, callerWait)
 	}
 }
 
--- a/gate/life_test.go
+++ b/gate/life_test.go
@@ -94,13 +94,13 @@
 				}
 				b.gate.OnDeregister(b.now, olderIncarnation)
 				if !b.gate.Open(b.now) {
-					t.Error("closed by a late message of the older incarnation that it ends")
+					t.Error("closed by a late deregistration of the older incarnation")
 				}
 				b.now += 700 * time.Millisecond
 				b.heartbeat(testIncarnation, true)
 				b.holdOf(testIncarnation)
 				if b.gate.Open(b.now) {
-					t.Error("open although the new incarnation has said that it drains")
+					t.Error("open although the new incarnation drains")
 				}
 			})
 		}
--- a/gate/name_test.go
+++ b/gate/name_test.go
@@ -32,7 +32,7 @@
 			b.now += time.Millisecond
 			b.gate.OnHold(b.now, h, Answer{Life: testIncarnation}, HoldAnswer{}, ErrOtherLife)
 			if s, told := b.states()[run]; told && s.End != 0 {
-				t.Errorf("reported %+v of a run at work", s)
+				t.Errorf("reported %+v of an active run", s)
 			}
 			b.hold(runningLists(run))
 			b.heartbeat(testIncarnation, false)
@@ -76,7 +76,7 @@
 	x.incarnation <- testIncarnation
 	d := NewDriver(ctx, New(Options{Node: "gate-1", Lease: time.Second, Contact: time.Minute, BestEffortContact: time.Minute}), x, logr.Discard())
 	go d.Run(ctx)
-	beat := func(incarnation Life) {
+	sendHeartbeat := func(incarnation Life) {
 		d.Heartbeat(Heartbeat{Life: incarnation, Service: "engine", Capacity: job.Resources{CPU: 1000}, Sequence: 1})
 	}
 	await := func(incarnation Life) {
@@ -90,7 +90,7 @@
 			t.Fatalf("%v is never described", incarnation)
 		}
 	}
-	beat(testIncarnation)
+	sendHeartbeat(testIncarnation)
 	await(testIncarnation)
 	until := time.Now().Add(10 * time.Second)
 	for link := uint64(1); !d.Connect(testOwner, link, func() {}); link++ {
@@ -100,6 +100,6 @@
 	}
 	<-x.incarnation
 	x.incarnation <- newerIncarnation
-	beat(newerIncarnation)
+	sendHeartbeat(newerIncarnation)
 	await(newerIncarnation)
 }
--- a/gate/restart_test.go
+++ b/gate/restart_test.go
@@ -43,7 +43,7 @@
 		Unix: func() int64 { return 1_796_260_000_000 + b.now.Milliseconds() },
 	})
 	for range 9 {
-		b.beat(false)
+		b.sendHeartbeat(false)
 	}
 	b.answer(HoldAnswer{})
 	b.answer(HoldAnswer{})
@@ -74,11 +74,11 @@
 	b.sequence = 0
 }
 
-// beat sends the next heartbeat of the current incarnation.
-func (b *restartBench) beat(draining bool) (believed bool) {
+// sendHeartbeat sends the next heartbeat of the current incarnation.
+func (b *restartBench) sendHeartbeat(draining bool) (trusted bool) {
 	b.sequence++
-	_, believed = b.gate.OnHeartbeat(b.now, b.heartbeatOf(b.incarnation, b.sequence, draining))
-	return believed
+	_, trusted = b.gate.OnHeartbeat(b.now, b.heartbeatOf(b.incarnation, b.sequence, draining))
+	return trusted
 }
 
 func (b *restartBench) heartbeatOf(incarnation Life, sequence int64, draining bool) Heartbeat {
@@ -139,7 +139,7 @@
 		if s := b.states()[name]; s.End != EndLost {
 			t.Errorf("reported %+v, want the run lost", s)
 		}
-		b.beat(false)
+		b.sendHeartbeat(false)
 		if !b.open() || b.gate.used != (job.Resources{}) {
 			t.Errorf("open %v, %+v in use, want an open gate with all its capacity", b.open(), b.gate.used)
 		}
@@ -163,7 +163,7 @@
 			b.answer(runningLists(name))
 			b.answer(runningLists(name))
 			if s := b.states()[name]; s.End != 0 {
-				t.Fatalf("reported %+v of a run at work (start answered %v)", s, answered)
+				t.Fatalf("reported %+v of an active run (start answered %v)", s, answered)
 			}
 			b.answer(HoldAnswer{Finished: []Ended{{Number: 1, Name: name, Kind: EndDone}}})
 			if s := b.states()[name]; s.End != EndDone {
@@ -200,7 +200,7 @@
 func TestClaimNotesNoEnds(t *testing.T) {
 	b := newRestartBench(t)
 	b.restart(secondIncarnation, behindClockAt)
-	b.beat(false)
+	b.sendHeartbeat(false)
 	if h := b.answer(HoldAnswer{}); h.Call.Seen != 0 {
 		t.Errorf("the hold that asks which incarnation is running acknowledges ends up to %d", h.Call.Seen)
 	}
@@ -228,7 +228,7 @@
 		b.restart(secondIncarnation, clockAt)
 		b.answer(HoldAnswer{})
 		if h := b.answer(HoldAnswer{}); h.Call.Fence <= former {
-			t.Errorf("token %d for the new incarnation, %d for the former", h.Call.Fence, former)
+			t.Errorf("token %d for the new incarnation, %d for the previous one", h.Call.Fence, former)
 		}
 	})
 }
@@ -261,7 +261,7 @@
 		if h := b.answer(HoldAnswer{}); h.Call.UntilMS != 0 {
 			t.Errorf("leased until %d before the new incarnation has listed its runs", h.Call.UntilMS)
 		}
-		b.beat(false)
+		b.sendHeartbeat(false)
 		name := testRun("bb", 0, 1)
 		b.startRun(name)
 		h := b.answer(runningLists(name))
@@ -269,7 +269,7 @@
 			t.Errorf("leased for %d ms from now, want up to 1000", left)
 		}
 		if b.gate.leaseOver(b.now) {
-			t.Error("the lease that was just given counts as over")
+			t.Error("the lease that was just granted counts as expired")
 		}
 	})
 }
@@ -284,7 +284,7 @@
 			b.answer(HoldAnswer{})
 			b.answer(HoldAnswer{})
 		}
-		if !b.beat(true) {
+		if !b.sendHeartbeat(true) {
 			t.Error("the heartbeat is not trusted")
 		}
 		if b.open() {
@@ -293,7 +293,7 @@
 		for range 3 {
 			b.answer(HoldAnswer{})
 		}
-		b.beat(false)
+		b.sendHeartbeat(false)
 		if b.open() {
 			t.Errorf("open later on (had answered %v)", answered)
 		}
@@ -303,14 +303,14 @@
 // Draining does not carry over from the previous incarnation.
 func TestRestartAfterDraining(t *testing.T) {
 	b := newRestartBench(t)
-	b.beat(true)
+	b.sendHeartbeat(true)
 	b.restart(secondIncarnation, behindClockAt)
 	b.answer(HoldAnswer{})
 	b.answer(HoldAnswer{})
 	if b.open() {
 		t.Error("open before the new incarnation has sent a heartbeat")
 	}
-	b.beat(false)
+	b.sendHeartbeat(false)
 	if !b.open() {
 		t.Error("closed to the new incarnation")
 	}
@@ -323,7 +323,7 @@
 		word func(b *restartBench, sentBefore Hold)
 	}{
 		{"a heartbeat", func(b *restartBench, _ Hold) {
-			if _, believed := b.gate.OnHeartbeat(b.now, b.heartbeatOf(firstIncarnation, 90, true)); believed {
+			if _, trusted := b.gate.OnHeartbeat(b.now, b.heartbeatOf(firstIncarnation, 90, true)); trusted {
 				b.t.Error("a heartbeat of the previous incarnation is trusted")
 			}
 		}},
@@ -346,7 +346,7 @@
 			b.restart(secondIncarnation, behindClockAt)
 			b.answer(HoldAnswer{})
 			b.answer(HoldAnswer{})
-			b.beat(false)
+			b.sendHeartbeat(false)
 			b.startRun(name)
 			b.answer(runningLists(name))
 			b.states()
@@ -360,7 +360,7 @@
 				t.Errorf("reported %+v", s)
 			}
 			if b.gate.leaseOver(b.now) {
-				t.Error("the lease counts as over")
+				t.Error("the lease counts as expired")
 			}
 		})
 	}
@@ -376,7 +376,7 @@
 	b.now += time.Millisecond
 	b.restart(secondIncarnation, behindClockAt)
 	b.answer(HoldAnswer{})
-	b.beat(false)
+	b.sendHeartbeat(false)
 	b.answer(HoldAnswer{})
 	b.gate.OnHold(b.now, early, Answer{ClockMS: aheadClockAt, Life: Life{Born: firstIncarnation.Born}}, HoldAnswer{}, nil)
 	b.answer(HoldAnswer{})
@@ -393,11 +393,11 @@
 	b.startRun(name)
 	b.answer(runningLists(name))
 	b.states()
-	untold := Life{ID: firstIncarnation.ID}
-	if _, believed := b.gate.OnHeartbeat(b.now, b.heartbeatOf(untold, 99, true)); believed {
+	unidentified := Life{ID: firstIncarnation.ID}
+	if _, trusted := b.gate.OnHeartbeat(b.now, b.heartbeatOf(unidentified, 99, true)); trusted {
 		t.Error("a heartbeat is trusted")
 	}
-	if a := b.gate.OnDeregister(b.now, untold); !a.HoldNow {
+	if a := b.gate.OnDeregister(b.now, unidentified); !a.HoldNow {
 		t.Error("no hold is requested after a deregistration")
 	}
 	h := b.gate.NextHold(b.now, 0)
@@ -424,7 +424,7 @@
 		b.restart(secondIncarnation, behindClockAt)
 		b.answer(HoldAnswer{})
 		b.answer(HoldAnswer{})
-		b.beat(false)
+		b.sendHeartbeat(false)
 		if s := b.states()[name]; s.End != EndDone {
 			t.Errorf("reported %+v, want the run done", s)
 		}
@@ -445,7 +445,7 @@
 	b.restart(secondIncarnation, behindClockAt)
 	b.answer(HoldAnswer{})
 	if s := b.states()[waiting.Name]; s.End != EndRejected {
-		t.Errorf("reported %+v of the run that waits, want it returned", s)
+		t.Errorf("reported %+v of the queued run, want it returned", s)
 	}
 }
 
@@ -459,9 +459,9 @@
 		b.answer(runningLists(name))
 		b.states()
 		b.restart(secondIncarnation, behindClockAt)
-		b.beat(false)
+		b.sendHeartbeat(false)
 		b.restart(last, behindClockAt)
-		b.beat(false)
+		b.sendHeartbeat(false)
 		h := b.gate.NextHold(b.now, 0)
 		b.now += time.Millisecond
 		if last.ID != firstIncarnation.ID {
@@ -496,7 +496,7 @@
 			continue
 		}
 		if s, told := b.states()[name]; told {
-			t.Errorf("reported %+v %v after the backoffart", s, b.now-begun)
+			t.Errorf("reported %+v %v after the restart", s, b.now-begun)
 		}
 	}
 	if s := b.states()[name]; s.End != EndLost {
@@ -518,7 +518,7 @@
 		if d, known := b.gate.Description(); known {
 			t.Errorf("described as %+v by a description of %v", d, incarnation)
 		}
-		b.beat(false)
+		b.sendHeartbeat(false)
 		b.answer(HoldAnswer{})
 		if !b.gate.Open(b.now) {
 			t.Error("closed to the new incarnation")
@@ -534,18 +534,18 @@
 	bad := b.heartbeatOf(firstIncarnation, 1_000_000, true)
 	bad.Service = "somebody-elses"
 	bad.Capacity = job.Resources{CPU: 1}
-	if _, believed := b.gate.OnHeartbeat(b.now, bad); believed {
+	if _, trusted := b.gate.OnHeartbeat(b.now, bad); trusted {
 		t.Error("believed")
 	}
 	if d, _ := b.gate.Description(); !b.open() || d.Service != "engine" || d.Capacity.CPU != 16000 {
 		t.Errorf("open %v, described as %+v", b.open(), d)
 	}
-	if !b.beat(true) || b.open() {
+	if !b.sendHeartbeat(true) || b.open() {
 		t.Error("the next valid heartbeat is skipped")
 	}
 	// The first heartbeat that a new process of the gate receives.
 	b.gate = New(b.gate.options)
-	if _, believed := b.gate.OnHeartbeat(b.now, bad); believed {
+	if _, trusted := b.gate.OnHeartbeat(b.now, bad); trusted {
 		t.Error("trusted as the first heartbeat")
 	}
 }
@@ -613,7 +613,7 @@
 	b.restart(secondIncarnation, behindClockAt)
 	b.answer(HoldAnswer{})
 	b.answer(HoldAnswer{})
-	b.beat(false)
+	b.sendHeartbeat(false)
 	b.startRun(testRun("dd", 0, 1))
 }
 
@@ -645,9 +645,9 @@
 	b := newRestartBench(t)
 	leaving := b.heartbeatOf(firstIncarnation, b.sequence+1, true)
 	b.sequence++
-	b.beat(false)
-	if _, believed := b.gate.OnHeartbeat(b.now, leaving); !believed || b.open() {
-		t.Errorf("trusted %v, open %v", believed, b.open())
+	b.sendHeartbeat(false)
+	if _, trusted := b.gate.OnHeartbeat(b.now, leaving); !trusted || b.open() {
+		t.Errorf("trusted %v, open %v", trusted, b.open())
 	}
 }
 
@@ -714,7 +714,7 @@
 			b.gate.options.LongestLease = test.longest
 			b.gate.NextHold(b.now, holdWait)
 			b.restart(secondIncarnation, test.clockAt)
-			b.beat(false)
+			b.sendHeartbeat(false)
 			b.answer(HoldAnswer{})
 			b.answer(HoldAnswer{})
 			name := testRun("aa", 0, 1)
