--- a/gate/contact.go
+++ b/gate/contact.go
@@ -12,7 +12,7 @@
 	case r.bestEffort:
 		return o.contact, o.contact != 0
 	}
-	return o.keptContact, o.keptContact != 0
+	return o.durableContact, o.durableContact != 0
 }
 
 // ownerSilent reports whether the last contact with a run's owner is too long ago.
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -119,11 +119,11 @@
 
 // ownerState is the state of one owner incarnation.
 type ownerState struct {
-	// contact is the latest time at which the owner is known to have been alive, keptContact
-	// the latest such time that the owner received while its lease in the store was valid; 0
-	// before the first.
-	contact     Time
-	keptContact Time
+	// contact is the latest time at which the owner is known to have been alive, durableContact
+	// the latest such time that the owner received while its lease in the store was valid,
+	// which runs of durable jobs depend on; 0 before the first.
+	contact        Time
+	durableContact Time
 	// connected is when the newest link was opened.
 	connected Time
 	link      uint64
--- a/gate/orders.go
+++ b/gate/orders.go
@@ -115,7 +115,7 @@
 		return Actions{}, false
 	}
 	o.contact = max(o.contact, min(f.Echo, now))
-	o.keptContact = max(o.keptContact, min(f.KeptEcho, now))
+	o.durableContact = max(o.durableContact, min(f.KeptEcho, now))
 	o.received = f.Sequence
 	a := g.TakeEvacuations(now, f.Evacuations)
 	g.adopt(now, owner, f.Adopt)
