--- a/member/life_test.go
+++ b/member/life_test.go
@@ -11,7 +11,7 @@
 
 var testParts = []string{"p0", "p1"}
 
-func begin(t *testing.T, s rowstore.Store, node, incarnation string) *Life {
+func beginLife(t *testing.T, s rowstore.Store, node, incarnation string) *Life {
 	t.Helper()
 	l := NewLife(s, testParts, Box{Node: node, Role: RoleEntry, Address: node + ":1", Incarnation: incarnation})
 	if _, err := l.Begin(context.Background()); err != nil {
@@ -20,11 +20,11 @@
 	return l
 }
 
-func watcher(s rowstore.Store, node, incarnation string) *Watcher {
+func newTestWatcher(s rowstore.Store, node, incarnation string) *Watcher {
 	return NewWatcher(s, testParts, Box{Node: node, Address: node + ":1", Incarnation: incarnation}, time.Now(), nil)
 }
 
-// poll returns the lives that are over, with the seen ages set back.
+// poll returns the lives that have ended, as if those seen had been unchanged for age.
 func poll(t *testing.T, w *Watcher, age time.Duration) []Over {
 	t.Helper()
 	if _, err := w.Poll(context.Background()); err != nil {
@@ -42,11 +42,11 @@
 
 func TestLifeIsFencedOnce(t *testing.T) {
 	s := rowstore.NewMemory()
-	l := begin(t, s, "a", "a~1")
-	begin(t, s, "b", "b~1")
-	w, other := watcher(s, "b", "b~1"), watcher(s, "c", "c~1")
+	l := beginLife(t, s, "a", "a~1")
+	beginLife(t, s, "b", "b~1")
+	w, other := newTestWatcher(s, "b", "b~1"), newTestWatcher(s, "c", "c~1")
 	if over := poll(t, w, 0); len(over) != 0 {
-		t.Fatalf("over at once: %+v", over)
+		t.Fatalf("ended at once: %+v", over)
 	}
 	over := poll(t, w, Lease+2*expiryMargin)
 	if len(over) != 1 || over[0].Incarnation != "a~1" {
@@ -70,8 +70,8 @@
 
 func TestRenewedLifeIsNotOver(t *testing.T) {
 	s := rowstore.NewMemory()
-	l := begin(t, s, "a", "a~1")
-	w := watcher(s, "b", "b~1")
+	l := beginLife(t, s, "a", "a~1")
+	w := newTestWatcher(s, "b", "b~1")
 	over := poll(t, w, Lease+2*expiryMargin)
 	if len(over) != 1 {
 		t.Fatalf("over %+v", over)
@@ -87,7 +87,7 @@
 // A renewal whose answer was lost does not end the life.
 func TestRenewalWithoutAnswer(t *testing.T) {
 	s := rowstore.NewMemory()
-	l := begin(t, s, "a", "a~1")
+	l := beginLife(t, s, "a", "a~1")
 	s.SetFault(func(rowstore.Call) rowstore.Fault { return rowstore.FaultLoseAnswer })
 	if _, err := l.Renew(context.Background(), nil); err == nil {
 		t.Fatal("renewed without an answer")
@@ -103,13 +103,13 @@
 
 func TestReleasedAndFormerLife(t *testing.T) {
 	s := rowstore.NewMemory()
-	l := begin(t, s, "a", "a~1")
-	begin(t, s, "b", "b~0")
+	l := beginLife(t, s, "a", "a~1")
+	beginLife(t, s, "b", "b~0")
 	if err := l.Release(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	over := poll(t, watcher(s, "b", "b~1"), 0)
+	over := poll(t, newTestWatcher(s, "b", "b~1"), 0)
 	if len(over) != 2 {
-		t.Errorf("over %+v, want the released life and the former one of the same machine", over)
+		t.Errorf("over %+v, want the released life and the former one of the same box", over)
 	}
 }
--- a/member/lives.go
+++ b/member/lives.go
@@ -10,15 +10,14 @@
 	"rackspur/rowstore"
 )
 
-// livesWait is how long a call for the first life is held back by the store. It is
-// what an entry box asks that keeps no jobs, so it should cost next to nothing.
+// livesWait is how long the store holds a call for the first life. It is long since boxes
+// that store no jobs make these calls too.
 const livesWait = 5 * time.Second
 
-// FollowLives calls found whenever a life stands in the store, until the context
-// ends; the jobs of the deployment stand in so many parts. A life that stands there says
-// that jobs are kept in this deployment.
+// FollowLives calls found for each life in the store until the context ends. A life shows
+// that the deployment stores jobs. parts is the number of parts that jobs are spread over.
 func FollowLives(ctx context.Context, s rowstore.Store, parts int, found func(), unreadable *observe.Unreadable, log logr.Logger) {
-	take := func(row rowstore.Row) {
+	handle := func(row rowstore.Row) {
 		if _, err := decodeLife(row); err != nil {
 			unreadable.Note(tableLives, row.Name, err.Error())
 			return
@@ -30,7 +29,7 @@
 		Parts: ring{parts: parts}.allParts(),
 		Change: func(row rowstore.Row) {
 			if !row.Gone {
-				take(row)
+				handle(row)
 			}
 		},
 	}
--- a/member/member.go
+++ b/member/member.go
@@ -1,5 +1,5 @@
-// Package member keeps in the store which boxes there are and which of them
-// own jobs: a row for each box, and a life with a lease for each owner.
+// Package member keeps the membership of a deployment in the store: a row for each box, and a
+// life with a lease for each owner of jobs.
 package member
 
 import (
@@ -22,7 +22,7 @@
 	tableFences  = "fences"
 )
 
-// ErrFenced says that a life is over: others may have taken its jobs.
+// ErrFenced is returned when a life has ended: others may have taken over its jobs.
 var ErrFenced = eris.New("member: life is fenced")
 
 // Role is what a box does.
@@ -34,40 +34,38 @@
 	RoleAgent Role = "agent"
 )
 
-// Box is a process of ours.
+// Box is a registered process of a deployment.
 type Box struct {
 	Node        string `json:"node"`
 	Role        Role   `json:"role"`
 	Zone        string `json:"zone"`
 	Address     string `json:"address"`
 	Incarnation string `json:"incarnation"`
-	// Wide says that the box's link is wide enough to follow the store for others.
+	// Wide is set if the box has enough bandwidth to serve as a hub.
 	Wide bool `json:"wide,omitempty"`
 }
 
 // Times of this package.
 const (
-	callTimeout = 700 * time.Millisecond
-	retryPause  = 100 * time.Millisecond
-	mostPause   = time.Second
-	// followWait is how long a call for changes of the membership is held back.
-	// Links that fail tell sooner that a box is gone; a new one is known 2.5 s
-	// late where the call's connection has died.
+	callTimeout   = 700 * time.Millisecond
+	retryPause    = 100 * time.Millisecond
+	maxRetryPause = time.Second
+	// followWait is how long the store holds a call for changes of the membership. Broken
+	// links reveal a lost box sooner.
 	followWait = 2 * time.Second
-	// followGather is how long changes of the membership are gathered: when all
-	// boxes start, each change would be a call of each entry box otherwise, 16,000
-	// at 55 entry boxes and 240 agents.
+	// followGather is how long changes of the membership are batched, to bound the number of
+	// calls when all boxes start at once.
 	followGather = 250 * time.Millisecond
 )
 
-// Register writes a box's row, and tries until it stands or the context ends.
+// Register writes a box's row; it retries until that succeeds or the context ends.
 func Register(ctx context.Context, s rowstore.Store, d Box, log logr.Logger) {
 	value, err := json.Marshal(d)
 	if err != nil {
 		panic(err)
 	}
 	key := keyOf(d.Role, d.Node)
-	for pause := retryPause; ctx.Err() == nil; pause = min(2*pause, mostPause) {
+	for pause := retryPause; ctx.Err() == nil; pause = min(2*pause, maxRetryPause) {
 		if err := register(ctx, s, key, value); err == nil {
 			log.Info("Registered.", "node", d.Node, "incarnation", d.Incarnation)
 			return
@@ -93,26 +91,25 @@
 	return err
 }
 
-// Follow calls found with each box that stands in the store or comes later, and lost
-// with the node of each whose row is gone, until the context ends.
+// Follow calls found for each box in the store, now or later, and lost with the node of each
+// box whose row was deleted, until the context ends.
 func Follow(ctx context.Context, s rowstore.Store, found func(Box), lost func(node string), unreadable *observe.Unreadable, log logr.Logger) {
 	t := newTracker(found, lost, unreadable)
 	f := rowstore.Follower{
 		Store: s, Table: tableMembers, Parts: allParts(), Log: log, Wait: followWait, Gather: followGather,
-		Anew: t.anew, Change: t.change, Confirmed: t.confirmed,
+		Anew: t.restart, Change: t.change, Confirmed: t.confirmed,
 	}
 	f.Run(ctx)
 }
 
-// tracker takes in the rows of the boxes.
+// tracker derives found and lost boxes from changes of rows.
 type tracker struct {
 	found      func(Box)
 	lost       func(node string)
 	unreadable *observe.Unreadable
-	// known are the nodes that were found and not lost, with the versions of their rows.
+	// known maps the nodes that were found and not lost to the versions of their rows.
 	known map[string]uint64
-	// seen are those that were found since the table began to be read anew; nil while it is
-	// not.
+	// seen holds the nodes found since rereading the table began; nil while it is not reread.
 	seen map[string]bool
 }
 
@@ -120,15 +117,15 @@
 	return &tracker{found: found, lost: lost, known: map[string]uint64{}, unreadable: unreadable}
 }
 
-// anew takes in that the table is read anew: a row that was dropped meanwhile will not be
-// told.
-func (t *tracker) anew() { t.seen = map[string]bool{} }
+// restart is called before the table is reread: deletions made meanwhile will not be reported
+// as changes.
+func (t *tracker) restart() { t.seen = map[string]bool{} }
 
-// change takes in a row. A table that is read anew may tell an older one than is known: the
-// changes after it follow.
+// change handles a row. Rereading may yield an older row than the known one; the later
+// changes follow.
 func (t *tracker) change(row rowstore.Row) {
 	if row.Gone {
-		t.drop(nodeOf(row.Name))
+		t.remove(nodeOf(row.Name))
 		return
 	}
 	d, err := decodeBox(row)
@@ -146,20 +143,20 @@
 	t.found(d)
 }
 
-// confirmed takes in that all rows have been read.
+// confirmed is called once all rows have been read.
 func (t *tracker) confirmed(time.Time, uint64) {
 	if t.seen == nil {
 		return
 	}
 	for node := range t.known {
 		if !t.seen[node] {
-			t.drop(node)
+			t.remove(node)
 		}
 	}
 	t.seen = nil
 }
 
-func (t *tracker) drop(node string) {
+func (t *tracker) remove(node string) {
 	if _, known := t.known[node]; !known {
 		return
 	}
@@ -168,8 +165,7 @@
 	t.lost(node)
 }
 
-// ReadBoxes reads the rows of all boxes, page by page until all are read or the
-// context ends.
+// ReadBoxes reads the rows of all boxes; it retries until that succeeds or the context ends.
 func ReadBoxes(ctx context.Context, s rowstore.Store, unreadable *observe.Unreadable) ([]Box, error) {
 	rows, err := rowstore.ScanAll(ctx, s, tableMembers, allParts())
 	if err != nil {
--- a/member/pending.go
+++ b/member/pending.go
@@ -7,8 +7,8 @@
 	"rackspur/rowstore"
 )
 
-// ReadPending reads how many jobs of each queue wait at the lives in the store, but for one
-// of the reader's own; jobs stand in so many parts.
+// ReadPending returns the number of waiting jobs by queue, summed over all lives but the
+// caller's own. parts is the number of parts that jobs are spread over.
 func ReadPending(ctx context.Context, s rowstore.Store, parts int, own string, unreadable *observe.Unreadable) (map[string]int, error) {
 	rows, err := rowstore.ScanAll(ctx, s, tableLives, ring{parts: parts}.allParts())
 	if err != nil {
--- a/member/refresh.go
+++ b/member/refresh.go
@@ -11,49 +11,47 @@
 	"rackspur/rowstore"
 )
 
-// A row of a box that never comes back would stand for ever: tables, reads and ranks
-// would grow with the age of a deployment. So each box refreshes its row now and then, and
-// one that was not refreshed for long is dropped.
+// Each box refreshes its row regularly, and a Sweeper deletes rows that were not refreshed
+// for long. Otherwise the rows of lost boxes would accumulate.
 
-// Times of refreshed rows. A box that is refreshed each five minutes costs 984 boxes 3.3
-// writes a second together.
+// Times of refreshes.
 const (
-	refreshPause = 5 * time.Minute
-	// refreshAgain is the time between a refresh that failed and the next.
-	refreshAgain = 10 * time.Second
+	refreshInterval = 5 * time.Minute
+	// refreshRetryDelay is the time between a failed refresh and the next.
+	refreshRetryDelay = 10 * time.Second
 )
 
-// tableRefreshed has a row for each box that is written with each refresh. Nobody follows
-// it: a refresh in the table of the boxes would go to every entry box.
+// tableRefreshed has a row for each box that is written with each refresh. It is separate
+// from the table of boxes, whose changes go to every entry box.
 const tableRefreshed = "refreshed"
 
-// refreshedKey returns the key of the row that is written to refresh a box's row. It
-// stands in the same part.
+// refreshedKey returns the key of the row that is written to refresh a box's row. It is in
+// the same part.
 func refreshedKey(k rowstore.Key) rowstore.Key {
 	k.Table = tableRefreshed
 	return k
 }
 
-// KeepRegistered registers a box and refreshes its row until the context ends. If the row
-// was dropped, or is another process's, it is written again.
+// KeepRegistered registers a box and refreshes its row until the context ends. If the row was
+// deleted or belongs to another process, it is written again.
 func KeepRegistered(ctx context.Context, s rowstore.Store, d Box, log logr.Logger) {
 	Register(ctx, s, d, log)
-	pause := jitter(refreshPause)
+	pause := jitter(refreshInterval)
 	for {
 		wait.For(ctx, pause)
 		if ctx.Err() != nil {
 			return
 		}
-		pause = jitter(refreshPause)
+		pause = jitter(refreshInterval)
 		if err := refresh(ctx, s, d, log); err != nil {
 			log.V(1).Info("Row not refreshed.", "node", d.Node, "error", err.Error())
-			pause = refreshAgain
+			pause = refreshRetryDelay
 		}
 	}
 }
 
-// jitter returns a time around one, so that boxes that have started together do not write
-// together.
+// jitter returns a random duration around d, so that boxes that were started together do not
+// write at the same time.
 func jitter(d time.Duration) time.Duration {
 	return d*3/4 + rand.N(d/2)
 }
@@ -67,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	if there, err := decodeBox(row); !ok || err != nil || there != d {
+	if current, err := decodeBox(row); !ok || err != nil || current != d {
 		log.Info("Row of this process is not there; registering again.", "node", d.Node, "there", ok)
 		Register(ctx, s, d, log)
 		return nil
--- a/member/ring.go
+++ b/member/ring.go
@@ -8,27 +8,26 @@
 	"rackspur/rowstore"
 )
 
-// ring is the order in which lives stand in the store: by a hash of their nodes, around a
-// ring that is cut into parts. All lives in one part would be 526 renewals a second at 184
-// entry boxes, where a part takes 300, so that leases of 1.5 s would lapse.
+// ring orders lives by a hash of their nodes. It is divided into parts of the store, since
+// the renewals of a large deployment exceed what a single part can take.
 type ring struct {
-	// parts is into how many parts the ring is cut.
+	// parts is the number of parts that the ring is divided into.
 	parts int
 }
 
-// partOf returns the part that the lives of a node stand in.
-func (r ring) partOf(node string) string { return r.part(r.place(node)) }
+// partOf returns the part that holds the lives of a node.
+func (r ring) partOf(node string) string { return r.partName(r.partIndex(node)) }
 
-// place returns the number of a node's part. The order of the parts is that of the hashes.
-func (r ring) place(node string) int { return int(uint64(hashOf(node)) * uint64(r.parts) >> 32) }
+// partIndex returns the index of a node's part. Parts are in the order of the hashes.
+func (r ring) partIndex(node string) int { return int(uint64(hashOf(node)) * uint64(r.parts) >> 32) }
 
-func (r ring) part(i int) string { return fmt.Sprintf("lives-%d", i) }
+func (r ring) partName(i int) string { return fmt.Sprintf("lives-%d", i) }
 
-// allParts returns the parts that lives stand in.
+// allParts returns all parts that hold lives.
 func (r ring) allParts() []string {
 	var all []string
 	for i := range r.parts {
-		all = append(all, r.part(i))
+		all = append(all, r.partName(i))
 	}
 	return all
 }
@@ -36,40 +35,40 @@
 // key returns the key of a life's row.
 func (r ring) key(incarnation string) rowstore.Key {
 	node := NodeOf(incarnation)
-	return rowstore.Key{Table: tableLives, Part: r.partOf(node), Name: prefixOf(hashOf(node)) + incarnation}
+	return rowstore.Key{Table: tableLives, Part: r.partOf(node), Name: hashPrefix(hashOf(node)) + incarnation}
 }
 
-// LifeKey returns the key of a life's row where jobs stand in so many parts.
+// LifeKey returns the key of a life's row if jobs are spread over this number of parts.
 func LifeKey(incarnation string, parts int) rowstore.Key { return ring{parts: parts}.key(incarnation) }
 
-// fence returns the key of the fence row that a life's own row has as a condition.
+// fence returns the key of the fence row that the life's own row is conditional on.
 func (r ring) fence(incarnation string) rowstore.Key {
 	return fenceKey(r.partOf(NodeOf(incarnation)), incarnation)
 }
 
-// NodeOf returns the node of a life or a process by its name.
+// NodeOf returns the node of an incarnation.
 func NodeOf(incarnation string) string {
 	node, _, _ := strings.Cut(incarnation, "~")
 	return node
 }
 
-// ringPage is how many lives are read at once: the own one, maybe a former one of the same
-// node, and the next few.
+// ringPage is the page size for reading lives: the caller's own one, maybe a former one of
+// the same node, and the next few.
 const ringPage = 6
 
-// from reads the lives from a node's place on around the ring, page by page, until take
-// has had enough of them or all have been read.
-func (r ring) from(ctx context.Context, s rowstore.Store, node string, take func([]rowstore.Row) (enough bool)) error {
-	first, begin := r.place(node), prefixOf(hashOf(node))
+// readFrom reads the lives around the ring, starting at a node, page by page until visit
+// returns true or all have been read.
+func (r ring) readFrom(ctx context.Context, s rowstore.Store, node string, visit func([]rowstore.Row) (enough bool)) error {
+	first, begin := r.partIndex(node), hashPrefix(hashOf(node))
 	for i := range r.parts + 1 {
-		q := rowstore.Query{Table: tableLives, Part: r.part((first + i) % r.parts), Limit: ringPage}
+		q := rowstore.Query{Table: tableLives, Part: r.partName((first + i) % r.parts), Limit: ringPage}
 		if i == 0 {
 			q.From = begin
 		}
 		if i == r.parts {
 			q.Until = begin
 		}
-		enough, err := readPages(ctx, s, q, take)
+		enough, err := readPages(ctx, s, q, visit)
 		if enough || err != nil {
 			return err
 		}
@@ -77,14 +76,14 @@
 	return nil
 }
 
-// readPages reads what a query selects, page by page, until take has had enough.
-func readPages(ctx context.Context, s rowstore.Store, q rowstore.Query, take func([]rowstore.Row) (enough bool)) (enough bool, err error) {
+// readPages reads what a query selects, page by page until visit returns true.
+func readPages(ctx context.Context, s rowstore.Store, q rowstore.Query, visit func([]rowstore.Row) (enough bool)) (enough bool, err error) {
 	for {
 		page, err := withTimeout(ctx, callTimeout, func(ctx context.Context) (rowstore.Page, error) { return s.Read(ctx, q) })
 		if err != nil {
 			return false, err
 		}
-		if take(page.Rows) {
+		if visit(page.Rows) {
 			return true, nil
 		}
 		last := page.LastName()
--- a/member/ring_test.go
+++ b/member/ring_test.go
@@ -21,7 +21,7 @@
 	end     context.CancelFunc
 }
 
-// startBoxes starts so many entry boxes, each with a life that is renewed.
+// startBoxes starts n entry boxes, each with a life that is renewed.
 func startBoxes(t *testing.T, ctx context.Context, s rowstore.Store, n int) []*ringBox {
 	t.Helper()
 	var boxes []*ringBox
@@ -46,16 +46,14 @@
 	return boxes
 }
 
-// What an entry box reads to watch lives is the same in a large fleet as in a small one, and
-// no part gets more renewals than a few boxes make. All lives in one part were read by each
-// box, 46 kB each 0.4 s at 184, and 526 renewals a second went to a part that takes 300.
-// Time is virtual.
+// The cost of watching lives does not grow with the deployment, and the renewals are spread
+// over the parts.
 func TestWatchingCostsTheSameAtEachSize(t *testing.T) {
 	for _, size := range []int{20, 55, 184} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			s := &countedStore{Store: rowstore.NewMemory()}
+			s := &countingStore{Store: rowstore.NewMemory()}
 			boxes := startBoxes(t, ctx, s, size)
 			const polls = 5
 			for range polls {
@@ -63,13 +61,13 @@
 				for _, b := range boxes {
 					over, err := b.watcher.Poll(ctx)
 					if err != nil || len(over) > 0 {
-						t.Fatalf("%d lives over in calm, %v", len(over), err)
+						t.Fatalf("%d lives reported as ended, want none; %v", len(over), err)
 					}
 				}
 			}
 			looks := size * polls
 			if s.rows > looks*2*ringPage || s.calls > looks*3 {
-				t.Errorf("%d entry boxes: a look reads %d rows with %d calls", size, s.rows/looks, s.calls/looks)
+				t.Errorf("%d entry boxes: a poll reads %d rows with %d calls", size, s.rows/looks, s.calls/looks)
 			}
 			renewals := map[string]int{}
 			for _, b := range boxes {
@@ -84,9 +82,8 @@
 	}
 }
 
-// Where many entry boxes are lost at once, also next to each other on the ring, each life
-// has a box that is left to find it over, and none that lives is taken for over. Time is
-// virtual.
+// When many entry boxes are lost at once, every lost life is found by a remaining box, and no
+// live one is reported as ended.
 func TestEveryLostLifeIsFound(t *testing.T) {
 	for seed := range uint64(6) {
 		synctest.Test(t, func(t *testing.T) {
@@ -116,7 +113,7 @@
 					for _, o := range over {
 						found[o.Incarnation] = true
 						if !lost[o.Incarnation] {
-							t.Fatalf("%s lives and was found over", o.Incarnation)
+							t.Fatalf("%s is alive and was reported as ended", o.Incarnation)
 						}
 					}
 				}
@@ -128,8 +125,8 @@
 	}
 }
 
-// A life whose taker stands elsewhere on the ring, and lives, is not taken over a second
-// time. Time is virtual.
+// A life is not taken over a second time while its successor is alive, wherever that is on
+// the ring.
 func TestTakerElsewhereOnTheRing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -137,7 +134,7 @@
 		boxes := startBoxes(t, ctx, rowstore.NewMemory(), 40)
 		lost := boxes[7].life.box.Incarnation
 		boxes[7].end()
-		taker, takes := (*ringBox)(nil), 0
+		successor, takes := (*ringBox)(nil), 0
 		for range 30 {
 			wait.For(ctx, 400*time.Millisecond)
 			for i, b := range boxes {
@@ -150,20 +147,20 @@
 				}
 				for _, o := range over {
 					if o.Incarnation == lost && !o.Fenced && b.watcher.Fence(ctx, o) == nil {
-						taker, takes = b, takes+1
+						successor, takes = b, takes+1
 					}
 				}
 			}
 		}
 		if takes != 1 {
-			t.Fatalf("fenced %d times while its taker lives, want once", takes)
+			t.Fatalf("fenced %d times while its successor is alive, want once", takes)
 		}
-		taker.end()
+		successor.end()
 		taken := false
 		for range 20 {
 			wait.For(ctx, 400*time.Millisecond)
 			for i, b := range boxes {
-				if i == 7 || b == taker {
+				if i == 7 || b == successor {
 					continue
 				}
 				over, err := b.watcher.Poll(ctx)
@@ -176,7 +173,7 @@
 			}
 		}
 		if !taken {
-			t.Error("the life is nobody's once its taker is lost")
+			t.Error("the life was not taken over once its successor was lost")
 		}
 	})
 }
--- a/member/row_test.go
+++ b/member/row_test.go
@@ -8,7 +8,7 @@
 	"rackspur/rowstore"
 )
 
-// Rows that others have written are left alone; those beside them are taken.
+// Rows that can't be decoded are skipped, and valid ones beside them are read.
 func TestRowsOfOthers(t *testing.T) {
 	good := Box{Node: "entry-1", Role: RoleEntry, Zone: "a", Address: "10.1.0.2:7720", Incarnation: "entry-1~a"}
 	value, err := json.Marshal(good)
@@ -18,7 +18,7 @@
 	s := rowstore.NewMemory()
 	put := func(name string, value []byte) {
 		t.Helper()
-		key := rowstore.Key{Table: tableMembers, Part: partOf(RoleEntry, name), Name: prefixOf(hashOf(name)) + name}
+		key := rowstore.Key{Table: tableMembers, Part: partOf(RoleEntry, name), Name: hashPrefix(hashOf(name)) + name}
 		if _, err := s.Transact(t.Context(), rowstore.Transaction{Puts: []rowstore.Put{{Key: key, Value: value}}}); err != nil {
 			t.Fatal(err)
 		}
@@ -37,7 +37,7 @@
 	}
 }
 
-// What is taken of a row of the members says the same when it is written again.
+// A decoded box survives encoding and decoding.
 func FuzzBox(f *testing.F) {
 	f.Add([]byte(`{"node":"entry-1","role":"entry","zone":"a","address":"10.1.0.2:7720","incarnation":"entry-1~a"}`))
 	f.Add([]byte(`{"node":"entry-1","role":7}`))
@@ -56,7 +56,7 @@
 	})
 }
 
-// What is taken of a row of a life says the same when it is written again.
+// A decoded life survives encoding and decoding.
 func FuzzLife(f *testing.F) {
 	f.Add([]byte(`{"node":"entry-1","role":"entry","zone":"a","address":"10.1.0.2:7720","incarnation":"entry-1~a","count":3}`))
 	f.Add([]byte(`{"incarnation":"entry-1~a","count":-3}`))
--- a/member/rows.go
+++ b/member/rows.go
@@ -15,19 +15,18 @@
 	"rackspur/rowstore"
 )
 
-// The rows of the boxes are spread over parts of the store, each of which takes 300
-// transactions a second: after a loss of all power each agent writes two rows at the same
-// moment, 1,784 in all with those of the entry boxes at 184 and 800. By a hash of the node
-// a part gets about 200 of them, so that none waits for a second; at twice that, 1.3 s.
+// The rows of the boxes are spread over several parts of the store by a hash of the node,
+// since a part takes only 300 transactions a second and all boxes write at once after a power
+// loss.
 const (
 	entryParts = 2
 	agentParts = 8
 )
 
-// hashOf spreads the names of nodes.
+// hashOf returns the hash of a node's name.
 func hashOf(node string) uint32 { return uint32(rendezvous.Hash("", node) >> 32) }
 
-// partOf returns the part that a box's row stands in.
+// partOf returns the part that holds a box's row.
 func partOf(role Role, node string) string {
 	if role == RoleAgent {
 		return AgentPart(node)
@@ -37,12 +36,12 @@
 
 func entryPart(i int) string { return fmt.Sprintf("entry-%d", i) }
 
-// AgentPart returns the part that the rows about an agent stand in.
+// AgentPart returns the part that holds the rows about an agent.
 func AgentPart(node string) string {
 	return fmt.Sprintf("agent-%d", hashOf(node)%agentParts)
 }
 
-// allParts returns the parts that the rows of the boxes stand in.
+// allParts returns all parts that hold rows of boxes.
 func allParts() []string {
 	var parts []string
 	for i := range entryParts {
@@ -54,34 +53,34 @@
 	return parts
 }
 
-// prefixLength is the length of what stands before the node in the name of its row: four
-// digits of its hash and a stroke, so that rows from a random name on are a fair draw.
+// prefixLength is the length of the prefix of a row's name: four hex digits of the node's
+// hash and a dash. With it, reading from a random name on gives a fair sample.
 const prefixLength = 5
 
-// prefixOf returns what stands before the node in the name of its row.
-func prefixOf(hash uint32) string { return fmt.Sprintf("%04x-", hash>>16) }
+// hashPrefix returns the prefix of the name of a node's row.
+func hashPrefix(hash uint32) string { return fmt.Sprintf("%04x-", hash>>16) }
 
 // keyOf returns the key of a box's row.
 func keyOf(role Role, node string) rowstore.Key {
-	return rowstore.Key{Table: tableMembers, Part: partOf(role, node), Name: prefixOf(hashOf(node)) + node}
+	return rowstore.Key{Table: tableMembers, Part: partOf(role, node), Name: hashPrefix(hashOf(node)) + node}
 }
 
-// nodeOf returns the node that a row's name tells; "" if it is none of ours.
+// nodeOf returns the node that a row's name refers to; "" if the name is malformed.
 func nodeOf(name string) string {
 	if len(name) <= prefixLength {
 		return ""
 	}
 	node := name[prefixLength:]
-	if !strings.HasPrefix(name, prefixOf(hashOf(node))) {
+	if !strings.HasPrefix(name, hashPrefix(hashOf(node))) {
 		return ""
 	}
 	return node
 }
 
-// ErrRow says that a row of this package's tables can't be read.
+// ErrRow is returned for a row of this package's tables that can't be decoded.
 var ErrRow = eris.New("member: row")
 
-// decodeBox reads the row of a box.
+// decodeBox decodes and validates the row of a box.
 func decodeBox(row rowstore.Row) (Box, error) {
 	var d Box
 	if err := json.Unmarshal(row.Value, &d); err != nil {
@@ -102,7 +101,7 @@
 	return d, nil
 }
 
-// decodeBoxes reads rows of boxes; those that can't be read are noted and left out.
+// decodeBoxes decodes rows of boxes; it notes and skips those that can't be decoded.
 func decodeBoxes(rows []rowstore.Row, unreadable *observe.Unreadable) []Box {
 	var all []Box
 	for _, row := range rows {
@@ -116,7 +115,7 @@
 	return all
 }
 
-// ErrUnknown says that no box of a name is registered.
+// ErrUnknown is returned if no box of the name is registered.
 var ErrUnknown = eris.New("member: unknown box")
 
 // ReadEntry reads the row of an entry box.
@@ -135,12 +134,12 @@
 	return d, nil
 }
 
-// SomeEntries reads the rows of so many entry boxes, drawn by chance; fewer if there are
-// not as many. What it costs does not grow with the fleet: it is for agents, and after a
-// loss of many entry boxes hundreds of them ask in the same second.
+// SomeEntries returns n random entry boxes, or all if there are fewer. Its cost does not grow
+// with the deployment, since hundreds of agents may call it at once after a loss of entry
+// boxes.
 func SomeEntries(ctx context.Context, s rowstore.Store, n int, unreadable *observe.Unreadable) ([]Box, error) {
 	first := rand.IntN(entryParts)
-	from := prefixOf(rand.Uint32())
+	from := hashPrefix(rand.Uint32())
 	draws := []rowstore.Query{{Part: entryPart(first), From: from}}
 	for i := range entryParts - 1 {
 		draws = append(draws, rowstore.Query{Part: entryPart((first + 1 + i) % entryParts)})
--- a/member/rows_test.go
+++ b/member/rows_test.go
@@ -14,8 +14,8 @@
 	"rackspur/rowstore"
 )
 
-// fleetRows registers so many entry boxes and agents.
-func fleetRows(t *testing.T, s rowstore.Store, entries, agents int) []Box {
+// registerBoxes registers entry boxes and agents.
+func registerBoxes(t *testing.T, s rowstore.Store, entries, agents int) []Box {
 	t.Helper()
 	var all []Box
 	for i := range entries {
@@ -32,9 +32,8 @@
 	return all
 }
 
-// After a loss of all power each agent writes two rows, each entry box one. A part of the
-// store takes 300 transactions a second and turns away what would wait for more than one:
-// no part gets as many at the size of a fleet of 984 boxes. All rows in one part were 1,784.
+// After a power loss each agent writes two rows and each entry box one. No part gets more
+// writes than it takes in a second, even with 984 boxes.
 func TestRowsAreSpreadOverParts(t *testing.T) {
 	const partWrites = 300
 	writes := map[string]int{}
@@ -51,14 +50,14 @@
 	}
 }
 
-// countedStore counts the rows that are read.
-type countedStore struct {
+// countingStore counts reads and the rows that they return.
+type countingStore struct {
 	rowstore.Store
 	mu          sync.Mutex
 	rows, calls int
 }
 
-func (s *countedStore) Read(ctx context.Context, q rowstore.Query) (rowstore.Page, error) {
+func (s *countingStore) Read(ctx context.Context, q rowstore.Query) (rowstore.Page, error) {
 	page, err := s.Store.Read(ctx, q)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,13 +66,12 @@
 	return page, err
 }
 
-// An agent that looks for owners reads as many rows in a large fleet as in a small one:
-// hundreds of agents read the whole table in the same second else, 0.25 MB each.
+// The cost of SomeEntries does not grow with the deployment.
 func TestSomeEntriesCostsTheSameAtEachSize(t *testing.T) {
 	const asked = 16
 	for _, entries := range []int{3, 20, 184, 368} {
-		s := &countedStore{Store: rowstore.NewMemory()}
-		fleetRows(t, s.Store, entries, 2*entries)
+		s := &countingStore{Store: rowstore.NewMemory()}
+		registerBoxes(t, s.Store, entries, 2*entries)
 		drawn := map[string]bool{}
 		const draws = 100
 		for range draws {
@@ -99,70 +97,69 @@
 	}
 }
 
-// A row that is dropped is told, also one that was dropped while changes were forgotten. Time
-// is virtual.
+// A deleted row is reported, even if the store's history was dropped in the meantime.
 func TestFollowTellsOfRowsThatAreGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		s := rowstore.NewMemory()
-		all := fleetRows(t, s, 3, 5)
-		known := &knownBoxes{there: map[string]bool{}}
+		all := registerBoxes(t, s, 3, 5)
+		known := &knownBoxes{nodes: map[string]bool{}}
 		go Follow(ctx, s, known.found, known.lost, nil, logr.Discard())
-		known.until(t, "all are known", len(all), nil)
+		known.waitUntil(t, "all are known", len(all), nil)
 		drop := func(b Box) {
 			if _, err := s.Transact(ctx, rowstore.Transaction{Deletes: []rowstore.Key{keyOf(b.Role, b.Node)}}); err != nil {
 				t.Error(err)
 			}
 		}
 		drop(all[0])
-		known.until(t, "one is gone", len(all)-1, &all[0])
-		// The second one is dropped while the call for changes is lost, and the store forgets.
+		known.waitUntil(t, "one is gone", len(all)-1, &all[0])
+		// The second row is deleted while the call for changes is lost and the store drops
+		// its history.
 		s.LoseWaiting()
 		drop(all[4])
 		s.Forget()
-		known.until(t, "another is gone", len(all)-2, &all[4])
+		known.waitUntil(t, "another is gone", len(all)-2, &all[4])
 	})
 }
 
-// knownBoxes are the boxes that a follower knows.
+// knownBoxes holds the boxes that a follower has found and not lost.
 type knownBoxes struct {
 	mu    sync.Mutex
-	there map[string]bool
+	nodes map[string]bool
 }
 
 func (k *knownBoxes) found(b Box) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.there[b.Node] = true
+	k.nodes[b.Node] = true
 }
 
 func (k *knownBoxes) lost(node string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	delete(k.there, node)
+	delete(k.nodes, node)
 }
 
-// until waits until so many boxes are known, and not the one that is gone.
-func (k *knownBoxes) until(t *testing.T, what string, n int, gone *Box) {
+// waitUntil waits until n boxes are known, without gone.
+func (k *knownBoxes) waitUntil(t *testing.T, what string, n int, gone *Box) {
 	t.Helper()
 	for limit := time.Now().Add(time.Minute); time.Now().Before(limit); wait.For(t.Context(), 10*time.Millisecond) {
 		k.mu.Lock()
-		ok := len(k.there) == n && (gone == nil || !k.there[gone.Node])
+		ok := len(k.nodes) == n && (gone == nil || !k.nodes[gone.Node])
 		k.mu.Unlock()
 		if ok {
 			return
 		}
 	}
-	t.Fatalf("waited in vain: %s", what)
+	t.Fatalf("timed out waiting: %s", what)
 }
 
-// A table that is read anew through a hub may tell a row as it stood up to 2 s ago. A box
-// that has started again meanwhile is known by its newer row already: links to its former
-// process would be made again else.
+// A row that was reread through a hub may be older than the known one. It is not reported, as
+// links to the box's former process would be opened otherwise.
 func TestOlderRowIsNoNews(t *testing.T) {
 	s := rowstore.NewMemory()
-	d := fleetRows(t, s, 1, 0)[0]
+	d := registerBoxes(t, s, 1, 0)[0]
 	row, ok, err := rowstore.ReadOne(t.Context(), s, keyOf(d.Role, d.Node))
 	if err != nil || !ok {
 		t.Fatal(err)
@@ -176,7 +173,7 @@
 	var found []string
 	tracker := newTracker(func(d Box) { found = append(found, d.Incarnation) }, func(string) { t.Error("lost") }, nil)
 	tracker.change(row)
-	tracker.anew()
+	tracker.restart()
 	tracker.change(former)
 	tracker.confirmed(time.Time{}, 0)
 	if len(found) != 1 || found[0] != d.Incarnation {
--- a/member/sweep.go
+++ b/member/sweep.go
@@ -11,76 +11,77 @@
 	"rackspur/rowstore"
 )
 
-// Times and bounds of the looks at the rows of boxes.
+// Times and bounds of sweeps.
 const (
-	// lookPause is the time between two looks.
-	lookPause = 5 * time.Minute
-	// goneAfter is how long a row is not refreshed before it is dropped: a box has tried
-	// a hundred times to refresh it by then.
-	goneAfter = 20 * time.Minute
-	// looksAtPart is how many looks an entry box has at the same parts, until it goes on to
-	// others: twice what a row that is gone takes to be dropped.
-	looksAtPart = int(2 * goneAfter / lookPause)
-	// sweepersPerPart is how many entry boxes look at a part at one time, on average.
+	// sweepInterval is the time between two sweeps.
+	sweepInterval = 5 * time.Minute
+	// staleAfter is how long a row must not have been refreshed to be deleted. A box retries
+	// a failed refresh about a hundred times within that.
+	staleAfter = 20 * time.Minute
+	// sweepsPerPart is the number of sweeps over the same parts before a sweeper moves on:
+	// twice what it takes to detect a stale row.
+	sweepsPerPart = int(2 * staleAfter / sweepInterval)
+	// sweepersPerPart is the average number of entry boxes that sweep a part at a time.
 	sweepersPerPart = 3
 )
 
-// Sweeper drops the rows of boxes that were not refreshed for long. Each entry box looks at
-// some of the parts for a while, then at others.
+// Sweeper deletes the rows of boxes that were not refreshed for long. Each entry box sweeps
+// some of the parts for a while, then others.
 type Sweeper struct {
 	store rowstore.Store
-	// entries returns how many entry boxes share the work.
+	// entries returns the number of entry boxes that share the work.
 	entries func() int
 	log     logr.Logger
-	// first is the number of the first part that is looked at, looks how often it was.
-	first, looks int
-	// seen are the rows as they were at the last look.
+	// firstPart is the index of the first part to sweep, sweeps the number of sweeps so far.
+	firstPart, sweeps int
+	// seen holds the rows as of the last sweep.
 	seen map[rowstore.Key]seenRow
 }
 
-// seenRow is a box's row as it was seen, and since when it and its refreshed row stand
+// seenRow holds the versions of a box's row and of its refresh row, and since when both are
 // unchanged.
 type seenRow struct {
 	version, refreshed uint64
 	since              time.Time
 }
 
-// NewSweeper returns the sweeper of one of so many entry boxes.
+// NewSweeper returns a sweeper for an entry box; entries returns the number of entry boxes.
 func NewSweeper(s rowstore.Store, entries func() int, log logr.Logger) *Sweeper {
-	return &Sweeper{store: s, entries: entries, log: log, first: rand.IntN(len(allParts())), seen: map[rowstore.Key]seenRow{}}
+	return &Sweeper{store: s, entries: entries, log: log, firstPart: rand.IntN(len(allParts())), seen: map[rowstore.Key]seenRow{}}
 }
 
-// parts returns the parts to look at now.
+// parts returns the parts to sweep now.
 func (w *Sweeper) parts() []string {
 	all := allParts()
 	n := min(len(all), 1+sweepersPerPart*len(all)/max(1, w.entries()))
 	var parts []string
 	for i := range n {
-		parts = append(parts, all[(w.first+i)%len(all)])
+		parts = append(parts, all[(w.firstPart+i)%len(all)])
 	}
 	return parts
 }
 
-// Run looks at the rows until the context ends.
+// Run sweeps until the context ends.
 func (w *Sweeper) Run(ctx context.Context) {
 	for {
-		wait.For(ctx, jitter(lookPause))
+		wait.For(ctx, jitter(sweepInterval))
 		if ctx.Err() != nil {
 			return
 		}
-		if err := w.look(ctx); err != nil {
-			// Who could not be read may not have been refreshed either: the time begins anew.
+		if err := w.sweep(ctx); err != nil {
+			// Boxes may not have been able to refresh their rows either, so their time
+			// restarts.
 			w.seen = map[rowstore.Key]seenRow{}
-			w.log.Info("Rows of boxes not looked at.", "error", err.Error())
+			w.log.Info("Sweep of the rows of boxes failed.", "error", err.Error())
 		}
-		if w.looks++; w.looks%looksAtPart == 0 {
-			w.first++
+		if w.sweeps++; w.sweeps%sweepsPerPart == 0 {
+			w.firstPart++
 		}
 	}
 }
 
-// look reads the rows of some parts, and drops those that stand unchanged for long.
-func (w *Sweeper) look(ctx context.Context) error {
+// sweep reads the rows of some parts and deletes those that have been unchanged for long.
+func (w *Sweeper) sweep(ctx context.Context) error {
 	parts := w.parts()
 	refreshed, err := w.versions(ctx, tableRefreshed, parts)
 	if err != nil {
@@ -98,15 +99,15 @@
 			s.since = before.since
 		}
 		seen[key] = s
-		if now.Sub(s.since) >= goneAfter {
-			w.drop(ctx, key, s)
+		if now.Sub(s.since) >= staleAfter {
+			w.deleteRow(ctx, key, s)
 		}
 	}
 	w.seen = seen
 	return nil
 }
 
-// versions reads the versions of the rows in parts of a table.
+// versions returns the versions of the rows in parts of a table.
 func (w *Sweeper) versions(ctx context.Context, table string, parts []string) (map[rowstore.Key]uint64, error) {
 	all := map[rowstore.Key]uint64{}
 	for s := rowstore.NewScan(table, parts); !s.Done(); {
@@ -121,8 +122,8 @@
 	return all, nil
 }
 
-// drop drops a box's row, unless it or its refreshed row is written meanwhile.
-func (w *Sweeper) drop(ctx context.Context, key rowstore.Key, s seenRow) {
+// deleteRow deletes a box's row and its refresh row unless either has changed.
+func (w *Sweeper) deleteRow(ctx context.Context, key rowstore.Key, s seenRow) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	t := rowstore.Transaction{
@@ -133,8 +134,8 @@
 		t.Deletes = append(t.Deletes, refreshedKey(key))
 	}
 	if _, err := w.store.Transact(callCtx, t); err != nil {
-		w.log.Info("Row of a box that is gone not dropped.", "row", key.Name, "error", err.Error())
+		w.log.Info("Row of a lost box not deleted.", "row", key.Name, "error", err.Error())
 		return
 	}
-	w.log.Info("Dropped the row of a box that is gone.", "row", key.Name, "unchangedS", int(time.Since(s.since).Seconds()))
+	w.log.Info("Deleted the row of a lost box.", "row", key.Name, "unchangedS", int(time.Since(s.since).Seconds()))
 }
--- a/member/watch.go
+++ b/member/watch.go
@@ -9,80 +9,78 @@
 	"rackspur/rowstore"
 )
 
-// seenLife is a life as a watcher last saw it.
+// seenLife is a life as last seen by a watcher.
 type seenLife struct {
 	row     lifeRow
 	version uint64
-	// since is when the version was first seen.
+	// since is when this version was first seen.
 	since time.Time
 }
 
-// Watcher finds lives that are over.
+// Watcher finds lives that have ended.
 type Watcher struct {
 	store rowstore.Store
 	ring  ring
 	parts []string
 	self  Box
-	// started is when this process began: earlier lives of its machine were
-	// over by then.
+	// started is when this process started; earlier lives of its box had ended by then.
 	started time.Time
-	// seen are the lives that were looked at last, by incarnation; nil for one that has no
-	// row.
+	// seen holds the lives that were read last, by incarnation; nil for one without a row.
 	seen       map[string]*seenLife
 	unreadable *observe.Unreadable
 }
 
-// NewWatcher returns a watcher for a box; unreadable is told of rows that can't be read.
+// NewWatcher returns a watcher for a box. It reports rows that can't be decoded to
+// unreadable.
 func NewWatcher(s rowstore.Store, parts []string, self Box, started time.Time, unreadable *observe.Unreadable) *Watcher {
 	return &Watcher{store: s, ring: ring{parts: len(parts)}, parts: parts, self: self, started: started, seen: map[string]*seenLife{}, unreadable: unreadable}
 }
 
-// Over is a life that is over.
+// Over is a life that has ended.
 type Over struct {
 	Incarnation string
-	// At is when it gave no more orders, at the latest.
+	// At is the latest time at which the life may have given orders.
 	At time.Time
-	// Fenced says that this box has fenced it before.
+	// Fenced is set if this box has already fenced the life.
 	Fenced  bool
 	version uint64
 	row     lifeRow
 }
 
-// livesWatched is how many other lives an entry box watches: those that come after its own
-// on the ring and are alive. A life has as many watchers, so that one is left where all but
-// one in three of them are lost; those that are over are passed, so that none is without.
-const livesWatched = 3
+// watchedLives is how many live lives of other boxes a box watches: the next ones on the
+// ring. Ended lives in between are watched too, so that every life has that many watchers.
+const watchedLives = 3
 
-// quietAfter is how long a life may go without a renewal before the next ones on the ring
-// are watched too.
-const quietAfter = 2 * RenewPause
+// renewalLateAfter is how long a life may go without a renewal before further lives on the
+// ring are watched in its place.
+const renewalLateAfter = 2 * RenewPause
 
-// Poll looks at the next lives on the ring and returns those that are over.
+// Poll reads the next lives on the ring and returns those that have ended.
 func (w *Watcher) Poll(ctx context.Context) ([]Over, error) {
 	present := map[string]*seenLife{}
 	living := 0
-	err := w.ring.from(ctx, w.store, w.self.Node, func(rows []rowstore.Row) bool {
+	err := w.ring.readFrom(ctx, w.store, w.self.Node, func(rows []rowstore.Row) bool {
 		read := time.Now()
 		for _, row := range rows {
-			if living < livesWatched && w.see(read, row, present) {
+			if living < watchedLives && w.record(read, row, present) {
 				living++
 			}
 		}
-		return living >= livesWatched
+		return living >= watchedLives
 	})
 	if err != nil {
 		return nil, err
 	}
-	if err := w.seeTakers(ctx, present); err != nil {
+	if err := w.recordSuccessors(ctx, present); err != nil {
 		return nil, err
 	}
 	w.seen = present
 	return w.over(time.Now()), nil
 }
 
-// see takes in the row of a life that was read at a time; alive says that it is one of another box that seems to
-// be alive.
-func (w *Watcher) see(read time.Time, row rowstore.Row, present map[string]*seenLife) (alive bool) {
+// record adds the row of a life, read at the given time, to present. alive reports whether
+// the life belongs to another box and seems to be alive.
+func (w *Watcher) record(read time.Time, row rowstore.Row, present map[string]*seenLife) (alive bool) {
 	l, err := decodeLife(row)
 	if err != nil {
 		w.unreadable.Note(tableLives, row.Name, err.Error())
@@ -93,30 +91,31 @@
 		s = &seenLife{row: l, version: row.Version, since: read}
 	}
 	present[l.Incarnation] = s
-	return l.Node != w.self.Node && !l.Released && l.FencedBy == "" && read.Sub(s.since) < quietAfter
+	return l.Node != w.self.Node && !l.Released && l.FencedBy == "" && read.Sub(s.since) < renewalLateAfter
 }
 
-// seeTakers looks at the lives that take over others: a life is taken over anew only if its
-// taker is over as well, and that may stand anywhere on the ring.
-func (w *Watcher) seeTakers(ctx context.Context, present map[string]*seenLife) error {
+// recordSuccessors reads the lives that have taken over others, wherever they are on the
+// ring: a life may be taken over again only if its successor has ended too.
+func (w *Watcher) recordSuccessors(ctx context.Context, present map[string]*seenLife) error {
 	for {
-		taker := w.missingTaker(present)
-		if taker == "" {
+		successor := w.unreadSuccessor(present)
+		if successor == "" {
 			return nil
 		}
-		row, ok, err := w.readLife(ctx, taker)
+		row, ok, err := w.readLife(ctx, successor)
 		if err != nil {
 			return err
 		}
-		present[taker] = nil
+		present[successor] = nil
 		if ok {
-			w.see(time.Now(), row, present)
+			w.record(time.Now(), row, present)
 		}
 	}
 }
 
-// missingTaker returns a life that takes over one of those present and was not looked at.
-func (w *Watcher) missingTaker(present map[string]*seenLife) string {
+// unreadSuccessor returns the successor of a life in present that has not been read yet, or
+// "".
+func (w *Watcher) unreadSuccessor(present map[string]*seenLife) string {
 	for _, s := range present {
 		if s == nil || s.row.FencedBy == "" || s.row.FencedBy == w.self.Incarnation {
 			continue
@@ -147,18 +146,18 @@
 	return over
 }
 
-// overAt says whether a life is over and by when it was.
+// overAt reports whether a life has ended, and a time by which it had.
 func (w *Watcher) overAt(now time.Time, s *seenLife) (time.Time, bool) {
 	if s.row.FencedBy == w.self.Incarnation {
 		return s.since, true
 	}
 	if s.row.FencedBy != "" {
-		// Its taker must be over as well: it has no row, or an expired one.
-		taker := w.seen[s.row.FencedBy]
-		if taker == nil {
+		// Its successor must have ended too: it has no row or an expired one.
+		successor := w.seen[s.row.FencedBy]
+		if successor == nil {
 			return s.since, now.Sub(s.since) > Lease+expiryMargin
 		}
-		_, ok := w.overAt(now, taker)
+		_, ok := w.overAt(now, successor)
 		return now, ok
 	}
 	if s.row.Released {
@@ -170,9 +169,9 @@
 	return now, now.Sub(s.since) > Lease+expiryMargin
 }
 
-// Fence ends a life in the store, so that none of its writes takes effect any
-// more and no other box takes it over. ErrConflict says that it was not over
-// or that another box was first.
+// Fence ends a life in the store: none of its writes takes effect any more, and no other box
+// can take it over. It returns ErrConflict if the life had not ended or another box was
+// first.
 func (w *Watcher) Fence(ctx context.Context, o Over) error {
 	row := o.row
 	row.FencedBy = w.self.Incarnation
@@ -187,8 +186,8 @@
 	return err
 }
 
-// FenceParts drops the fence rows of a life in all parts of the jobs, and tries
-// until that is done or the context ends.
+// FenceParts deletes the fence rows of a life in all parts that hold jobs; it retries until
+// that succeeds or the context ends.
 func (w *Watcher) FenceParts(ctx context.Context, incarnation string) error {
 	for _, part := range w.parts {
 		if err := w.transact(ctx, rowstore.Transaction{Deletes: []rowstore.Key{fenceKey(part, incarnation)}}); err != nil {
@@ -198,13 +197,13 @@
 	return nil
 }
 
-// Forget drops the row of a life whose jobs have all been taken over.
+// Forget deletes the row of a life whose jobs have all been taken over.
 func (w *Watcher) Forget(ctx context.Context, incarnation string) error {
 	return w.transact(ctx, rowstore.Transaction{Deletes: []rowstore.Key{w.ring.key(incarnation)}})
 }
 
 func (w *Watcher) transact(ctx context.Context, t rowstore.Transaction) error {
-	for pause := retryPause; ctx.Err() == nil; pause = min(2*pause, mostPause) {
+	for pause := retryPause; ctx.Err() == nil; pause = min(2*pause, maxRetryPause) {
 		_, err := withTimeout(ctx, callTimeout, func(ctx context.Context) (rowstore.Outcome, error) {
 			return w.store.Transact(ctx, t)
 		})
