--- a/rowstore/committer.go
+++ b/rowstore/committer.go
@@ -10,7 +10,7 @@
 	"rackspur/internal/wait"
 )
 
-// Bounds of one transaction of the committer: below the store's own limits.
+// Bounds of a committer's transaction, which leave room below the store's limits.
 const (
 	maxBatchEntries = 90
 	maxBatchBytes   = 700 << 10
@@ -18,40 +18,39 @@
 
 // Times of the committer.
 const (
-	// leastTimeout is the shortest time given to a transaction; it doubles with
-	// each that is not answered.
-	leastTimeout = 250 * time.Millisecond
-	mostTimeout  = 2 * time.Second
-	// retryPause is the time between two tries of a transaction that must succeed.
+	// minTimeout is the initial timeout of a transaction; it doubles with each one that is
+	// not answered, up to maxTimeout.
+	minTimeout = 250 * time.Millisecond
+	maxTimeout = 2 * time.Second
+	// retryPause is the time before a transaction is retried.
 	retryPause = 40 * time.Millisecond
 )
 
-// Write is one change that the committer brings into the store as part of some
-// transaction. Every row that it puts or deletes must stand in a condition.
+// Write is a change that the committer writes to the store, possibly in one transaction with
+// others. It must have a condition for every row that it puts or deletes.
 type Write struct {
 	Transaction
-	// GiveUp makes the write fail with ErrNotDone as soon as the store turns it
-	// away; other writes are tried again until they are decided.
+	// GiveUp makes the write fail with ErrNotDone as soon as the store refuses it; other
+	// writes are retried until they are decided.
 	GiveUp bool
-	// Done is called once, with the version of the rows written, or ErrConflict
-	// and the rows that stood against it, or ErrNotDone.
+	// Done is called once, with the version of the rows written, or with ErrConflict and the
+	// rows that violated the conditions, or with ErrNotDone.
 	Done func(Outcome, error)
 
-	// sent is set once a call with the write may have reached the store and its
-	// outcome is not known.
+	// sent is set once the write was handed to a call, and so may take effect.
 	sent      bool
 	withdrawn bool
-	// tries counts the calls with the write that got no answer.
+	// tries counts the calls with the write whose outcome is unknown.
 	tries int
 }
 
-// Committer brings writes into one part of a store, several in one transaction,
-// one transaction at a time. All carry the condition of a fence row: once that
-// row has changed no write of this committer can take effect any more.
+// Committer writes to one part of a store. It groups writes into transactions and makes one
+// at a time. Every transaction is conditional on a fence row: once that row has changed, no
+// write of the committer can take effect any more.
 type Committer struct {
 	store Store
 	fence Condition
-	// fenced is called when the fence row was found changed.
+	// fenced is called when the fence row is found changed.
 	fenced func()
 	// delay is how long the first of several writes waits for others.
 	delay time.Duration
@@ -60,13 +59,13 @@
 	queue   []*Write
 	wake    chan struct{}
 	timeout time.Duration
-	// failedSince is the time of the first of the calls that failed in a row.
+	// failedSince is the time of the first failure since the last answered call.
 	failedSince time.Time
 }
 
-// NewCommitter returns a committer that starts with Run.
+// NewCommitter returns a committer. It commits while Run runs.
 func NewCommitter(s Store, fence Condition, delay time.Duration, fenced func()) *Committer {
-	return &Committer{store: s, fence: fence, fenced: fenced, delay: delay, wake: make(chan struct{}, 1), timeout: leastTimeout}
+	return &Committer{store: s, fence: fence, fenced: fenced, delay: delay, wake: make(chan struct{}, 1), timeout: minTimeout}
 }
 
 // Add queues a write.
@@ -74,11 +73,11 @@
 	c.mu.Lock()
 	c.queue = append(c.queue, w)
 	c.mu.Unlock()
-	c.poke()
+	c.signal()
 }
 
-// Withdraw takes a write back that was not sent yet; it reports whether that
-// was so. A withdrawn write has no effect and its Done is not called.
+// Withdraw removes a write from the queue; it reports false if the write was already sent. A
+// withdrawn write has no effect, and its Done is not called.
 func (c *Committer) Withdraw(w *Write) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +88,7 @@
 	return true
 }
 
-// FailingFor says how long calls have failed without one that was answered.
+// FailingFor returns how long all calls have failed; 0 if the last one was answered.
 func (c *Committer) FailingFor(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,17 +98,17 @@
 	return now.Sub(c.failedSince)
 }
 
-func (c *Committer) poke() {
+func (c *Committer) signal() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run commits until the context ends.
+// Run commits writes until the context ends.
 func (c *Committer) Run(ctx context.Context) {
 	for {
-		batch := c.take()
+		batch := c.nextBatch()
 		if len(batch) == 0 {
 			select {
 			case <-ctx.Done():
@@ -126,8 +125,8 @@
 	}
 }
 
-// take removes the next batch from the queue and marks its writes as sent.
-func (c *Committer) take() []*Write {
+// nextBatch removes the next batch from the queue and marks its writes as sent.
+func (c *Committer) nextBatch() []*Write {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var batch []*Write
@@ -164,7 +163,7 @@
 			w.Done(out, nil)
 		}
 	case errors.Is(err, ErrConflict):
-		c.settle(batch, out)
+		c.resolveConflict(batch, out)
 	case errors.Is(err, ErrUncertain):
 		for _, w := range batch {
 			w.tries++
@@ -172,7 +171,7 @@
 		wait.For(ctx, retryPause)
 		c.requeue(batch)
 	default:
-		c.turnedAway(ctx, batch)
+		c.handleRefusal(ctx, batch)
 	}
 }
 
@@ -187,21 +186,20 @@
 	defer c.mu.Unlock()
 	if err == nil || errors.Is(err, ErrConflict) {
 		c.failedSince = time.Time{}
-		c.timeout = max(leastTimeout, c.timeout*3/4)
+		c.timeout = max(minTimeout, c.timeout*3/4)
 		return
 	}
 	if c.failedSince.IsZero() {
 		c.failedSince = time.Now()
 	}
 	if errors.Is(err, ErrUncertain) {
-		c.timeout = min(mostTimeout, c.timeout*2)
+		c.timeout = min(maxTimeout, c.timeout*2)
 	}
 }
 
-// turnedAway handles a transaction that certainly had no effect. A write whose
-// earlier try may still take effect stays queued; the others that may be given
-// up are.
-func (c *Committer) turnedAway(ctx context.Context, batch []*Write) {
+// handleRefusal handles a transaction that certainly had no effect. Writes with GiveUp fail,
+// unless an earlier call may still take effect; the others are retried.
+func (c *Committer) handleRefusal(ctx context.Context, batch []*Write) {
 	var again, failed []*Write
 	for _, w := range batch {
 		if w.GiveUp && w.tries == 0 {
@@ -219,17 +217,17 @@
 	}
 }
 
-// requeue puts writes back to the front in their order.
+// requeue puts writes back at the front of the queue in their order.
 func (c *Committer) requeue(batch []*Write) {
 	c.mu.Lock()
 	c.queue = append(append([]*Write(nil), batch...), c.queue...)
 	c.mu.Unlock()
-	c.poke()
+	c.signal()
 }
 
-// settle handles a conflict: it finds the writes that stood against the current
-// rows, tells them, and queues the rest again.
-func (c *Committer) settle(batch []*Write, out Outcome) {
+// resolveConflict handles a conflict: writes whose conditions hold are queued again, the
+// others are decided.
+func (c *Committer) resolveConflict(batch []*Write, out Outcome) {
 	current := out.rows()
 	if current[c.fence.Key].Version != c.fence.Version {
 		c.fenced()
@@ -242,7 +240,7 @@
 		case w.applied(current):
 			w.Done(Outcome{Version: w.appliedVersion(current)}, nil)
 		default:
-			w.Done(Outcome{Version: out.Version, Current: w.against(current)}, ErrConflict)
+			w.Done(Outcome{Version: out.Version, Current: w.currentRows(current)}, ErrConflict)
 		}
 	}
 	if len(again) > 0 {
@@ -250,8 +248,8 @@
 	}
 }
 
-// applied says whether an earlier try of the write has taken effect: the rows
-// stand exactly as it leaves them. Values are unique to a write.
+// applied reports whether an earlier call with the write has taken effect: the rows are
+// exactly as it leaves them. Values are unique to a write.
 func (w *Write) applied(current map[Key]Row) bool {
 	if w.tries == 0 {
 		return false
--- a/rowstore/committer_test.go
+++ b/rowstore/committer_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// setup returns a store with a fence row and a running committer.
-func setup(t *testing.T, fenced func()) (*Memory, *Committer) {
+// startCommitter returns a store with a fence row and a running committer.
+func startCommitter(t *testing.T, fenced func()) (*Memory, *Committer) {
 	m := NewMemory()
 	fence := Key{Table: "fences", Part: "p0", Name: "life"}
 	out, err := m.Transact(context.Background(), Transaction{Puts: []Put{{Key: fence, Value: []byte("x")}}})
@@ -28,7 +28,7 @@
 	err error
 }
 
-// insert writes a row that is not there; the channel brings the outcome.
+// insert writes a row that does not exist; the channel receives the outcome.
 func insert(c *Committer, name, value string, giveUp bool) <-chan outcome {
 	key := Key{Table: "jobs", Part: "p0", Name: name}
 	done := make(chan outcome, 1)
@@ -41,7 +41,7 @@
 }
 
 func TestCommitterConflict(t *testing.T) {
-	_, c := setup(t, func() {})
+	_, c := startCommitter(t, func() {})
 	if o := <-insert(c, "a", "1", true); o.err != nil {
 		t.Fatal(o.err)
 	}
@@ -56,7 +56,7 @@
 
 // A write whose answer was lost is found to have taken effect, not to conflict.
 func TestCommitterLostAnswer(t *testing.T) {
-	m, c := setup(t, func() {})
+	m, c := startCommitter(t, func() {})
 	var calls atomic.Int32
 	m.SetFault(func(call Call) Fault {
 		if call == CallTransact && calls.Add(1) == 1 {
@@ -69,15 +69,15 @@
 	}
 }
 
-// A refused insert has failed only if no earlier try may still take effect.
+// A refused insert fails only if no earlier call may still take effect.
 func TestCommitterRefused(t *testing.T) {
-	m, c := setup(t, func() {})
+	m, c := startCommitter(t, func() {})
 	m.SetFault(func(Call) Fault { return FaultRefuse })
 	if o := <-insert(c, "a", "1", true); !errors.Is(o.err, ErrNotDone) {
 		t.Errorf("outcome %+v, want not done", o)
 	}
 	if c.FailingFor(time.Now().Add(time.Second)) <= 0 {
-		t.Error("not failing while every call is turned away")
+		t.Error("not failing while every call is refused")
 	}
 	var calls atomic.Int32
 	m.SetFault(func(Call) Fault {
@@ -90,13 +90,13 @@
 		return FaultNone
 	})
 	if o := <-insert(c, "b", "1", true); o.err != nil {
-		t.Errorf("outcome %+v; it was given up though its fate was not known", o)
+		t.Errorf("outcome %+v; it was given up though an earlier call was uncertain", o)
 	}
 }
 
 func TestCommitterFenced(t *testing.T) {
 	fenced := make(chan struct{}, 10)
-	m, c := setup(t, func() { fenced <- struct{}{} })
+	m, c := startCommitter(t, func() { fenced <- struct{}{} })
 	if _, err := m.Transact(context.Background(), Transaction{Deletes: []Key{{Table: "fences", Part: "p0", Name: "life"}}}); err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 	select {
 	case <-fenced:
 	case <-time.After(30 * time.Second):
-		t.Fatal("not told that the life is fenced")
+		t.Fatal("the fence was not reported")
 	}
 	if _, ok, _ := ReadOne(context.Background(), m, Key{Table: "jobs", Part: "p0", Name: "a"}); ok {
 		t.Error("written though the fence is gone")
--- a/rowstore/follow.go
+++ b/rowstore/follow.go
@@ -10,104 +10,103 @@
 	"rackspur/internal/wait"
 )
 
-// Times of a follower. What it knows must be at most 2 s old, and must be so again 3 s
-// after trouble on its ways to the store has ended: the users' bounds at the smallest
-// deployments. By then one call that hangs directly and one that hangs through a peer
-// have been given up, one after the other, and the pauses between them are over.
+// Times of a follower. In the smallest deployments its knowledge must be at most 2 s old, and
+// must be so again 3 s after the store can be reached again. Within that time one direct call
+// and one through a peer may time out in turn.
 const (
-	// feedWait is how long the store holds a call for changes back. It bounds the
-	// age of what is known in calm, at two calls a second for each table.
-	feedWait = 500 * time.Millisecond
-	// feedMargin is the time for the way there and back. A store that is slow takes
-	// a quarter of a second.
-	feedMargin = 500 * time.Millisecond
-	// followPause is the time between a call that failed and the next; it doubles
-	// with each failure in a row, up to mostFollowPause.
-	followPause     = 100 * time.Millisecond
-	mostFollowPause = 200 * time.Millisecond
-	// anewMayBeOld is how old the pages of a table that is read anew may be. The call for
-	// changes that follows brings what is newer, and in calm what is known of the boxes is as
-	// old. All who read a table anew at the same moment, as once the history is forgotten,
-	// can be served with one reading then.
-	anewMayBeOld = 2 * time.Second
+	// changesWait is how long the store waits for changes by default. It bounds the age of
+	// the follower's knowledge when nothing changes.
+	changesWait = 500 * time.Millisecond
+	// changesMargin is added to the timeout of a call for the round trip; a slow store takes
+	// up to 250 ms.
+	changesMargin = 500 * time.Millisecond
+	// followRetryPause is the time before a failed call is retried; it doubles with each
+	// failure in a row, up to maxFollowRetryPause.
+	followRetryPause    = 100 * time.Millisecond
+	maxFollowRetryPause = 200 * time.Millisecond
+	// rereadMaxAge is how old pages may be when a table is reread; the call for changes that
+	// follows returns what is newer. It lets followers that reread a table at the same time
+	// share the reads.
+	rereadMaxAge = 2 * time.Second
 )
 
-// Follower keeps up with a table: it reads the table anew, then waits for its
-// changes. A forgotten history makes it read anew. A wait without changes is answered
-// too: a call that is not is given up, since its connection may be dead.
+// Follower follows a table: it reads the whole table, then waits for changes. It rereads the
+// table if the store has dropped the history that it needs. The store also answers when
+// nothing has changed; a call without an answer is abandoned, since its connection may be
+// dead.
 type Follower struct {
 	Store Store
 	Table string
-	// Parts are the parts of the table; nil stands for the one without a name.
+	// Parts are the parts of the table; nil means the part with the empty name.
 	Parts []string
-	// Anew, if it is not nil, is called before the table is read anew.
+	// Anew, if not nil, is called before the table is read or reread.
 	Anew func()
-	// Change takes in a row that stands there, was written or was deleted.
+	// Change is called for each row that was read, written or deleted.
 	Change func(Row)
-	// Confirmed, if it is not nil, is called once everything that stood in the store
-	// when a call was sent has been taken in, with the version that is covered.
+	// Confirmed, if not nil, is called once all changes made before the time sent have been
+	// passed to Change, with the version that they cover.
 	Confirmed func(sent time.Time, version uint64)
-	// Wait is how long the store holds a call for changes back; 0 means 0.5 s. What
-	// is known is at most this and half a second old.
+	// Wait is how long the store waits for changes; 0 means 0.5 s. The follower's knowledge
+	// is at most 0.5 s older than this.
 	Wait time.Duration
-	// Gather is the pause after changes, so that those that come soon after them
-	// are taken in with one call.
+	// Gather is a pause after changes, so that those that follow closely are fetched with one
+	// call.
 	Gather time.Duration
 	Log    logr.Logger
 }
 
-// wait returns how long the store holds a call back.
+// wait returns how long the store waits for changes.
 func (f *Follower) wait() time.Duration {
 	if f.Wait > 0 {
 		return f.Wait
 	}
-	return feedWait
+	return changesWait
 }
 
 // Run follows the table until the context ends.
 func (f *Follower) Run(ctx context.Context) {
-	t := &track{Follower: f, confirmed: time.Now()}
-	pause := followPause
+	t := &followerState{Follower: f, confirmed: time.Now()}
+	pause := followRetryPause
 	for ctx.Err() == nil {
 		err := t.next(ctx)
 		switch {
 		case err == nil:
-			pause = followPause
+			pause = followRetryPause
 		case errors.Is(err, ErrHistoryGone):
-			f.Log.Info("History is gone; reading anew.", "table", f.Table, "version", t.version)
-			t.fresh = false
+			f.Log.Info("History is gone; rereading the table.", "table", f.Table, "version", t.version)
+			t.synced = false
 			t.scan = nil
-			// A store that forgets may do so again at once.
-			wait.For(ctx, followPause)
+			// The store may drop its history again at once.
+			wait.For(ctx, followRetryPause)
 		default:
-			t.lose(err)
+			t.noteFailure(err)
 			wait.For(ctx, pause)
-			pause = min(2*pause, mostFollowPause)
+			pause = min(2*pause, maxFollowRetryPause)
 		}
 	}
 }
 
-// track is how far a follower has come.
-type track struct {
+// followerState is the progress of a follower.
+type followerState struct {
 	*Follower
-	// fresh says that the table was read and all changes up to version are known.
-	fresh   bool
+	// synced is set once the table was read; all changes up to version are known then.
+	synced  bool
 	version uint64
-	// scan is how far the table was read anew; nil before the first page.
+	// scan is the reading of the table that is under way; nil before the first page.
 	scan *Scan
-	// sent is when the newest call was sent, covered as of when all is known once it is
-	// answered, confirmed as of when it was at last.
-	sent, covered, confirmed time.Time
-	lost                     bool
+	// sent is when the newest call was sent, asOf the time up to which everything is known
+	// once that call is answered, and confirmed the time up to which everything is known.
+	sent, asOf, confirmed time.Time
+	failing               bool
 }
 
 // next makes the next call.
-func (t *track) next(ctx context.Context) error {
+func (t *followerState) next(ctx context.Context) error {
 	t.sent = time.Now()
-	t.covered = t.sent
+	t.asOf = t.sent
 	call := t.poll
-	if !t.fresh {
-		call = t.read
+	if !t.synced {
+		call = t.readPage
 	}
 	complete, err := call(ctx)
 	if err != nil {
@@ -119,12 +118,11 @@
 	return nil
 }
 
-// read reads the next page of the table, from where it was broken off. It is complete with
-// the last one.
-func (t *track) read(ctx context.Context) (complete bool, err error) {
+// readPage reads the next page of the table; it is complete with the last one.
+func (t *followerState) readPage(ctx context.Context) (complete bool, err error) {
 	if t.scan == nil {
 		t.scan = NewScan(t.Table, t.Parts)
-		t.scan.MayBeOld = anewMayBeOld
+		t.scan.MayBeOld = rereadMaxAge
 		if t.Anew != nil {
 			t.Anew()
 		}
@@ -140,22 +138,21 @@
 		return false, nil
 	}
 	t.version = t.scan.Version()
-	t.covered = t.scan.AsOf()
-	t.fresh = true
+	t.asOf = t.scan.AsOf()
+	t.synced = true
 	t.scan = nil
 	return true, nil
 }
 
-// poll waits for changes and takes them in. It is not complete if the store has more
-// of them.
-func (t *track) poll(ctx context.Context) (complete bool, err error) {
-	callCtx, cancel := context.WithTimeout(ctx, t.wait()+feedMargin)
+// poll waits for changes and handles them. It is not complete if the store has more.
+func (t *followerState) poll(ctx context.Context) (complete bool, err error) {
+	callCtx, cancel := context.WithTimeout(ctx, t.wait()+changesMargin)
 	defer cancel()
 	page, err := t.Store.Changes(callCtx, t.Table, t.version, t.wait())
 	if err != nil {
 		return false, err
 	}
-	t.covered = t.sent.Add(-page.Late)
+	t.asOf = t.sent.Add(-page.Late)
 	for _, row := range page.Rows {
 		t.Change(row)
 	}
@@ -166,9 +163,8 @@
 	return !page.More, nil
 }
 
-// resumeFrom returns the version that a follower goes on from. The store may give only the
-// first of many changes at once: the newest version tells how far it has come only if
-// there were none.
+// resumeFrom returns the version to continue from. A page may hold only the first of many
+// changes, so its own version counts only if it has none.
 func resumeFrom(p Page) uint64 {
 	through := p.Through
 	if len(p.Rows) > 0 {
@@ -180,24 +176,24 @@
 	return through
 }
 
-// confirm notes an answer.
-func (t *track) confirm() {
-	if t.lost {
+// confirm records an answer.
+func (t *followerState) confirm() {
+	if t.failing {
 		t.Log.Info("Following a table again.", "table", t.Table, "version", t.version, "lostMS", time.Since(t.confirmed).Milliseconds())
 	}
-	t.lost = false
-	t.confirmed = t.covered
+	t.failing = false
+	t.confirmed = t.asOf
 	if t.Confirmed != nil {
-		t.Confirmed(t.covered, t.version)
+		t.Confirmed(t.asOf, t.version)
 	}
 }
 
-// lose notes a call without an answer; the first of several in a row is logged.
-func (t *track) lose(err error) {
-	if t.lost {
+// noteFailure records a call without an answer; the first of several in a row is logged.
+func (t *followerState) noteFailure(err error) {
+	if t.failing {
 		return
 	}
-	t.lost = true
-	t.Log.Info("Lost track of a table.", "table", t.Table, "version", t.version,
+	t.failing = true
+	t.Log.Info("Following a table failed.", "table", t.Table, "version", t.version,
 		"waitedMS", time.Since(t.sent).Milliseconds(), "confirmedMS", time.Since(t.confirmed).Milliseconds(), "error", err.Error())
 }
--- a/rowstore/follow_test.go
+++ b/rowstore/follow_test.go
@@ -12,21 +12,21 @@
 	"github.com/go-logr/logr"
 )
 
-// Bounds of the users' rules at the smallest deployments: a change must be known
-// applyBound after it was made, by whoever has had contact for contactBound.
+// Required bounds for the smallest deployments: a follower that has had contact for
+// contactBound must know a change applyBound after it was made.
 const (
 	applyBound   = 2 * time.Second
 	contactBound = 3 * time.Second
 )
 
-// followed is what a follower has taken in.
+// followed is what a follower has received.
 type followed struct {
 	mu        sync.Mutex
 	value     string
 	confirmed time.Time
 }
 
-func (f *followed) take(value string) {
+func (f *followed) set(value string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.value = value
@@ -38,7 +38,7 @@
 	f.confirmed = at
 }
 
-func (f *followed) now() (value string, confirmed time.Time) {
+func (f *followed) state() (value string, confirmed time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.value, f.confirmed
@@ -46,8 +46,8 @@
 
 var followedKey = Key{Table: "op", Name: "config"}
 
-// follow follows the row of followedKey.
-func follow(ctx context.Context, s Store) *followed {
+// startFollower follows the row of followedKey.
+func startFollower(ctx context.Context, s Store) *followed {
 	f := &followed{}
 	follower := newFollower(s, f)
 	go follower.Run(ctx)
@@ -58,53 +58,52 @@
 func newFollower(s Store, f *followed) *Follower {
 	return &Follower{
 		Store: s, Table: followedKey.Table, Confirmed: f.confirm, Log: logr.Discard(),
-		Change: func(row Row) { f.take(string(row.Value)) },
+		Change: func(row Row) { f.set(string(row.Value)) },
 	}
 }
 
-// silent says nothing to any call.
-func silent(Call) Fault { return FaultSilent }
+// silentFault leaves every call without an answer.
+func silentFault(Call) Fault { return FaultSilent }
 
-// The store is silent for a while, several times in a run of minutes, and the value
-// changes each second. Calls that wait as the silence begins never get an answer.
-// Once the store has answered new calls again for contactBound, what is known is
-// never older than applyBound. The time of this test is virtual.
+// The store repeatedly stops answering for a while, and calls that wait at that moment never
+// get an answer. Once it has answered again for contactBound, the follower's knowledge is
+// never older than applyBound.
 func TestFollowerAfterSilence(t *testing.T) {
 	for _, length := range []time.Duration{50 * time.Millisecond, 6 * time.Second} {
 		t.Run(length.String(), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { followThroughSilence(t, length) })
+			synctest.Test(t, func(t *testing.T) { testFollowerThroughSilence(t, length) })
 		})
 	}
 }
 
-func followThroughSilence(t *testing.T, length time.Duration) {
+func testFollowerThroughSilence(t *testing.T, length time.Duration) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	m := NewMemory()
-	f := follow(ctx, m)
+	f := startFollower(ctx, m)
 	const rounds, seconds = 5, 30
 	for round := range rounds {
 		m.LoseWaiting()
-		m.SetFault(silent)
+		m.SetFault(silentFault)
 		time.Sleep(length)
 		m.SetFault(nil)
 		calm := time.Now()
 		for second := range seconds {
 			change(t, m, fmt.Sprintf("%d.%d", round, second))
 			time.Sleep(time.Second)
-			_, confirmed := f.now()
+			_, confirmed := f.state()
 			if age := time.Since(confirmed); time.Since(calm) >= contactBound+applyBound && age > applyBound {
-				t.Fatalf("round %d, %v after the silence: what is known is %v old", round, time.Since(calm), age)
+				t.Fatalf("round %d, %v after the silence: the follower's knowledge is %v old", round, time.Since(calm), age)
 			}
 		}
 		time.Sleep(applyBound)
-		if got, _ := f.now(); got != fmt.Sprintf("%d.%d", round, seconds-1) {
+		if got, _ := f.state(); got != fmt.Sprintf("%d.%d", round, seconds-1) {
 			t.Fatalf("round %d: %q is known", round, got)
 		}
 	}
 }
 
-// change writes the value that is followed.
+// change writes the followed value.
 func change(t *testing.T, m *Memory, value string) {
 	t.Helper()
 	if _, err := m.Transact(t.Context(), Transaction{Puts: []Put{{Key: followedKey, Value: []byte(value)}}}); err != nil {
@@ -112,10 +111,10 @@
 	}
 }
 
-// shortFeed gives few changed rows at once, and names the newest version all the same.
-type shortFeed struct{ *Memory }
+// limitedChanges returns few changes at once, but the newest version.
+type limitedChanges struct{ *Memory }
 
-func (s shortFeed) Changes(ctx context.Context, table string, after uint64, wait time.Duration) (Page, error) {
+func (s limitedChanges) Changes(ctx context.Context, table string, after uint64, wait time.Duration) (Page, error) {
 	page, err := s.Memory.Changes(ctx, table, after, wait)
 	const most = 2
 	if len(page.Rows) > most {
@@ -124,16 +123,16 @@
 	return page, err
 }
 
-// Changes beyond what the store gives at once are not passed over. Time is virtual.
+// Changes beyond the first page are not skipped.
 func TestFollowerOfShortFeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		m := NewMemory()
-		f := follow(ctx, shortFeed{m})
+		f := startFollower(ctx, limitedChanges{m})
 		time.Sleep(time.Second)
-		// The follower is held up while five changes are made.
-		m.SetFault(silent)
+		// The follower gets no answer while five changes are made.
+		m.SetFault(silentFault)
 		m.LoseWaiting()
 		time.Sleep(time.Millisecond)
 		m.SetFault(nil)
@@ -141,14 +140,14 @@
 			change(t, m, fmt.Sprint(i))
 		}
 		time.Sleep(contactBound + applyBound)
-		if got, _ := f.now(); got != "4" {
+		if got, _ := f.state(); got != "4" {
 			t.Errorf("%q is known, want the newest value", got)
 		}
 	})
 }
 
-// A follower that gathers takes in a first change at once and those that come soon
-// after it with few calls. Time is virtual.
+// A follower with Gather handles a first change at once, and those that follow closely with
+// few calls.
 func TestFollowerGathers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -170,7 +169,7 @@
 		calls.Store(0)
 		change(t, m, "first")
 		time.Sleep(time.Millisecond)
-		if got, _ := f.now(); got != "first" {
+		if got, _ := f.state(); got != "first" {
 			t.Errorf("%q is known right after the first change", got)
 		}
 		for i := range 290 {
@@ -178,7 +177,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(follower.Gather)
-		if got, _ := f.now(); got != "289" {
+		if got, _ := f.state(); got != "289" {
 			t.Errorf("%q is known, want the newest value", got)
 		}
 		if n := calls.Load(); n > 4 {
@@ -187,7 +186,7 @@
 		calls.Store(0)
 		time.Sleep(20 * time.Second)
 		if n := calls.Load(); n > 11 {
-			t.Errorf("%d calls in 20 calm seconds, want one each %v", n, follower.Wait)
+			t.Errorf("%d calls in 20 s without changes, want one each %v", n, follower.Wait)
 		}
 	})
 }
--- a/rowstore/memory.go
+++ b/rowstore/memory.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// Memory is a Store in memory, for tests and trials on one machine. A fault
-// function may turn calls away or lose their answers.
+// Memory is a Store in memory, for tests and trials on one box. A fault function may refuse
+// calls or lose their answers.
 type Memory struct {
 	mu      sync.Mutex
 	rows    map[Key]Row
 	version uint64
 	history []Row
-	// forgotten is the newest version whose changes are no longer kept.
+	// forgotten is the newest version whose changes were dropped.
 	forgotten uint64
 	changed   chan struct{}
-	// lost is closed once the calls that wait for changes are to get no answer.
+	// lost is closed to make the calls that wait for changes end without an answer.
 	lost  chan struct{}
 	fault func(call Call) Fault
 }
 
-// Call names a kind of call.
+// Call is a kind of call.
 type Call string
 
 // The kinds of calls.
@@ -32,21 +32,20 @@
 	CallChanges  Call = "changes"
 )
 
-// Fault says what happens to a call.
+// Fault is what happens to a call.
 type Fault int
 
 // The faults.
 const (
 	// FaultNone: the call is served.
 	FaultNone Fault = iota
-	// FaultRefuse: the call is turned away and has no effect.
+	// FaultRefuse: the call is refused and has no effect.
 	FaultRefuse
 	// FaultLoseAnswer: the call takes effect, its answer is lost.
 	FaultLoseAnswer
 	// FaultLoseCall: the call has no effect and its connection breaks.
 	FaultLoseCall
-	// FaultSilent: the call has no effect, and nothing is heard of it: its maker
-	// waits as long as its patience lasts.
+	// FaultSilent: the call has no effect and is not answered until its context ends.
 	FaultSilent
 )
 
@@ -55,15 +54,15 @@
 	return &Memory{rows: map[Key]Row{}, changed: make(chan struct{}), lost: make(chan struct{})}
 }
 
-// SetFault sets the function that decides over each later call; nil serves all.
+// SetFault sets the function that decides the fault of each later call; nil means no faults.
 func (m *Memory) SetFault(f func(Call) Fault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.fault = f
 }
 
-// LoseWaiting loses the answers of the calls that wait for changes now, as when
-// their connections are cut without a word: nothing is heard of them any more.
+// LoseWaiting loses the answers of the calls that wait for changes now, as when their
+// connections die silently.
 func (m *Memory) LoseWaiting() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -79,9 +78,9 @@
 	m.history = nil
 }
 
-// begin says what happens to a call. It returns once the caller's patience is over
-// if nothing is to be heard of the call.
-func (m *Memory) begin(ctx context.Context, c Call) Fault {
+// awaitFault returns the fault of a call; for FaultSilent it first waits for the end of the
+// context.
+func (m *Memory) awaitFault(ctx context.Context, c Call) Fault {
 	fault := m.faultOf(c)
 	if fault == FaultSilent {
 		<-ctx.Done()
@@ -100,7 +99,7 @@
 
 // Transact implements Store.Transact.
 func (m *Memory) Transact(ctx context.Context, t Transaction) (Outcome, error) {
-	fault := m.begin(ctx, CallTransact)
+	fault := m.awaitFault(ctx, CallTransact)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch fault {
@@ -149,7 +148,7 @@
 
 // Read implements Store.Read.
 func (m *Memory) Read(ctx context.Context, q Query) (Page, error) {
-	if m.begin(ctx, CallRead) != FaultNone {
+	if m.awaitFault(ctx, CallRead) != FaultNone {
 		return Page{}, ErrNotDone
 	}
 	m.mu.Lock()
@@ -172,9 +171,9 @@
 func (m *Memory) Changes(ctx context.Context, table string, after uint64, wait time.Duration) (Page, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	lost := m.waiting()
+	lost := m.lostChan()
 	for {
-		if m.begin(ctx, CallChanges) != FaultNone {
+		if m.awaitFault(ctx, CallChanges) != FaultNone {
 			return Page{}, ErrNotDone
 		}
 		page, changed, err := m.changesNow(table, after)
@@ -194,9 +193,8 @@
 	}
 }
 
-// waiting returns a channel that is closed once a call that begins now is to get no
-// answer.
-func (m *Memory) waiting() <-chan struct{} {
+// lostChan returns a channel that is closed when calls waiting now lose their answers.
+func (m *Memory) lostChan() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.lost
--- a/rowstore/merger.go
+++ b/rowstore/merger.go
@@ -7,34 +7,33 @@
 	"time"
 )
 
-// Bounds of a merged transaction: the store's own are 100 entries and 1 MB.
+// Bounds of a merged transaction; the store's limits are 100 entries and 1 MB.
 const (
-	mostMergedEntries = 100
-	mostMergedBytes   = 900 << 10
-	// mostCommit is the longest time for a merged transaction, and so how long one without an
-	// answer keeps others waiting. A store that is slow answers in a quarter of a second.
-	mostCommit = 500 * time.Millisecond
+	maxMergedEntries = 100
+	maxMergedBytes   = 900 << 10
+	// maxCommitTime is the timeout of a merged transaction, and so how long an unanswered one
+	// delays others.
+	maxCommitTime = 500 * time.Millisecond
 )
 
-// Merger is a store that makes transactions of several callers in one, where these allow it:
-// one for each part at a time, and what comes meanwhile goes into the next. A part makes 300
-// transactions a second in turn, so that 55 owners with one each under way waited 183 ms for
-// every accept and every end; at 184 it would be 613 ms.
+// Merger is a store that merges transactions of several callers if they allow it. It makes
+// one merged transaction per part at a time; calls that arrive meanwhile go into the next.
+// Without it callers wait for each other, since a part makes its transactions one by one.
 type Merger struct {
 	Store
 	mu    sync.Mutex
 	parts map[string]*mergedPart
 }
 
-// mergedPart is a part of the store. It is kept while a transaction is under way there.
+// mergedPart is the queue of a part. It exists while a transaction is under way there.
 type mergedPart struct {
 	waiting []*mergedCall
 }
 
-// mergedCall is a transaction that waits, or is part of the one under way.
+// mergedCall is a transaction that waits or is under way.
 type mergedCall struct {
 	transaction Transaction
-	// deadline is when nobody waits for the outcome any more.
+	// deadline is when the caller stops waiting for the outcome.
 	deadline time.Time
 	// done is closed once the outcome is known.
 	done    chan struct{}
@@ -59,7 +58,7 @@
 	}
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		deadline = time.Now().Add(mostTimeout)
+		deadline = time.Now().Add(maxTimeout)
 	}
 	c := &mergedCall{transaction: t, deadline: deadline, done: make(chan struct{})}
 	part := t.Part()
@@ -75,7 +74,7 @@
 	return Outcome{}, ErrUncertain
 }
 
-// add queues a call, and begins with the part if none is under way there.
+// add queues a call and starts run unless it is running for the part.
 func (m *Merger) add(part string, c *mergedCall) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -87,7 +86,7 @@
 	go m.run(part)
 }
 
-// withdraw takes back a call that still waits; it reports whether that was so.
+// withdraw removes a call that still waits; it reports false if the call was already sent.
 func (m *Merger) withdraw(part string, c *mergedCall) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -104,10 +103,10 @@
 	return false
 }
 
-// run makes the transactions of a part until none waits.
+// run makes the transactions of a part until none are waiting.
 func (m *Merger) run(part string) {
 	for {
-		batch := m.take(part)
+		batch := m.nextBatch(part)
 		if len(batch) == 0 {
 			return
 		}
@@ -115,8 +114,8 @@
 	}
 }
 
-// take removes the next batch from a part's queue. The part is forgotten if nothing waits.
-func (m *Merger) take(part string) []*mergedCall {
+// nextBatch removes the next batch from a part's queue, and the part itself if nothing waits.
+func (m *Merger) nextBatch(part string) []*mergedCall {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.parts[part]
@@ -128,7 +127,7 @@
 	return batch
 }
 
-// requeue puts calls back to the front in their order.
+// requeue puts calls back at the front of the queue in their order.
 func (m *Merger) requeue(part string, again []*mergedCall) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -136,28 +135,28 @@
 	p.waiting = append(again, p.waiting...)
 }
 
-// mergeable divides calls into those that make up the next transaction and the rest. No two of
-// one transaction name the same row: what one of them does would decide about the other.
+// mergeable divides calls into those of the next transaction and the rest. Calls of one
+// transaction share no rows, as they would affect each other's conditions.
 func mergeable(waiting []*mergedCall) (batch, rest []*mergedCall) {
-	named := map[Key]bool{}
+	keys := map[Key]bool{}
 	entries, size := 0, 0
 	for _, c := range waiting {
 		t := &c.transaction
-		fits := len(batch) == 0 || entries+t.Entries() <= mostMergedEntries && size+t.size() <= mostMergedBytes
-		if !fits || t.names(named) {
+		fits := len(batch) == 0 || entries+t.Entries() <= maxMergedEntries && size+t.size() <= maxMergedBytes
+		if !fits || t.sharesKey(keys) {
 			rest = append(rest, c)
 			continue
 		}
 		entries += t.Entries()
 		size += t.size()
-		t.addNames(named)
+		t.addKeys(keys)
 		batch = append(batch, c)
 	}
 	return batch, rest
 }
 
-// commit makes a batch's transaction and tells the outcome. It returns the calls that are to
-// be made again.
+// commit makes the transaction of a batch and reports its outcome. It returns the calls that
+// are to be retried.
 func (m *Merger) commit(batch []*mergedCall) (again []*mergedCall) {
 	if len(batch) == 1 {
 		m.commitAlone(batch[0])
@@ -171,14 +170,14 @@
 			deadline = c.deadline
 		}
 	}
-	ctx, cancel := committing(deadline)
+	ctx, cancel := commitContext(deadline)
 	defer cancel()
 	out, err := m.Store.Transact(ctx, merged)
 	switch {
 	case errors.Is(err, ErrConflict):
-		return m.settle(batch, out)
+		return m.resolveConflict(batch, out)
 	case errors.Is(err, ErrInvalid):
-		// One of them is wrong, or all together are.
+		// One of the calls is invalid, or only all of them together are.
 		m.commitEach(batch)
 	default:
 		for _, c := range batch {
@@ -189,14 +188,14 @@
 }
 
 func (m *Merger) commitAlone(c *mergedCall) {
-	ctx, cancel := committing(c.deadline)
+	ctx, cancel := commitContext(c.deadline)
 	defer cancel()
 	c.finish(m.Store.Transact(ctx, c.transaction))
 }
 
-// committing returns the context of a transaction whose callers wait until a deadline.
-func committing(deadline time.Time) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(context.Background(), min(time.Until(deadline), mostCommit))
+// commitContext returns the context of a transaction whose callers wait until a deadline.
+func commitContext(deadline time.Time) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(context.Background(), min(time.Until(deadline), maxCommitTime))
 }
 
 func (m *Merger) commitEach(batch []*mergedCall) {
@@ -205,18 +204,18 @@
 	}
 }
 
-// settle tells those whose conditions stood against the transaction, and returns the others.
-func (m *Merger) settle(batch []*mergedCall, out Outcome) (again []*mergedCall) {
+// resolveConflict fails the calls whose conditions don't hold, and returns the others.
+func (m *Merger) resolveConflict(batch []*mergedCall, out Outcome) (again []*mergedCall) {
 	current := out.rows()
 	for _, c := range batch {
 		if c.transaction.holds(current) {
 			again = append(again, c)
 			continue
 		}
-		c.finish(Outcome{Version: out.Version, Current: c.transaction.against(current)}, ErrConflict)
+		c.finish(Outcome{Version: out.Version, Current: c.transaction.currentRows(current)}, ErrConflict)
 	}
 	if len(again) == len(batch) {
-		// Nothing that the store has told stood against it.
+		// The current rows don't show which condition failed.
 		m.commitEach(batch)
 		return nil
 	}
--- a/rowstore/merger_test.go
+++ b/rowstore/merger_test.go
@@ -14,22 +14,22 @@
 	"rackspur/internal/wait"
 )
 
-// queueStore makes the transactions of a part in turn, each after a time.
-type queueStore struct {
+// serialStore makes transactions one by one, each with a latency.
+type serialStore struct {
 	*Memory
-	takes time.Duration
-	made  atomic.Int32
+	latency time.Duration
+	made    atomic.Int32
 	// turn holds a value while a transaction is made.
 	turn chan struct{}
 }
 
-func newQueueStore(takes time.Duration) *queueStore {
-	return &queueStore{Memory: NewMemory(), takes: takes, turn: make(chan struct{}, 1)}
+func newSerialStore(takes time.Duration) *serialStore {
+	return &serialStore{Memory: NewMemory(), latency: takes, turn: make(chan struct{}, 1)}
 }
 
-func (s *queueStore) Transact(ctx context.Context, t Transaction) (Outcome, error) {
+func (s *serialStore) Transact(ctx context.Context, t Transaction) (Outcome, error) {
 	s.turn <- struct{}{}
-	wait.For(context.WithoutCancel(ctx), s.takes)
+	wait.For(context.WithoutCancel(ctx), s.latency)
 	<-s.turn
 	s.made.Add(1)
 	out, err := s.Memory.Transact(ctx, t)
@@ -39,8 +39,8 @@
 	return out, err
 }
 
-// fenceOf returns the condition of an owner's fence row, which it writes.
-func fenceOf(t *testing.T, s Store, owner string) Condition {
+// putFence writes an owner's fence row and returns the condition on it.
+func putFence(t *testing.T, s Store, owner string) Condition {
 	t.Helper()
 	k := Key{Table: "fences", Part: "p", Name: owner}
 	out, err := s.Transact(t.Context(), Transaction{Conditions: []Condition{{Key: k}}, Puts: []Put{{Key: k}}})
@@ -50,26 +50,23 @@
 	return Condition{Key: k, Version: out.Version}
 }
 
-func insertOf(name string) Transaction {
+func insertTransaction(name string) Transaction {
 	k := Key{Table: "jobs", Part: "p", Name: name}
 	return Transaction{Conditions: []Condition{{Key: k}}, Puts: []Put{{Key: k, Value: []byte(name)}}, Merge: true}
 }
 
-// A part of the store makes 300 transactions a second in turn. Owners that each write two jobs
-// of their own a second to it wait for a few transactions, however many they are: with a
-// transaction for each, 184 owners waited for up to 177 ms and 368 for 4.5 s. Half of the kept
-// jobs of a day with 55 owners took 494 ms for that, 222 without the store. Time is virtual.
+// The time that a write waits does not grow with the number of owners that write to a part.
 func TestMergedWritesWaitTheSameForManyOwners(t *testing.T) {
 	for _, owners := range []int{8, 55, 184, 368} {
 		t.Run(fmt.Sprint(owners), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const rounds = 10
-				s := newQueueStore(time.Second / 300)
+				s := newSerialStore(time.Second / 300)
 				m := NewMerger(s)
 				var longest atomic.Int64
 				var all sync.WaitGroup
 				for i := range owners {
-					fence := fenceOf(t, s.Memory, fmt.Sprint(i))
+					fence := putFence(t, s.Memory, fmt.Sprint(i))
 					all.Go(func() {
 						c := NewCommitter(m, fence, time.Millisecond, func() { t.Error("fenced") })
 						ctx, cancel := context.WithCancel(t.Context())
@@ -79,7 +76,7 @@
 							wait.For(ctx, time.Duration(rand.IntN(1000))*time.Millisecond)
 							began := time.Now()
 							done := make(chan error, 1)
-							c.Add(&Write{Transaction: insertOf(fmt.Sprintf("%d-%d", i, round)), Done: func(_ Outcome, err error) { done <- err }})
+							c.Add(&Write{Transaction: insertTransaction(fmt.Sprintf("%d-%d", i, round)), Done: func(_ Outcome, err error) { done <- err }})
 							if err := <-done; err != nil {
 								t.Error(err)
 							}
@@ -88,8 +85,8 @@
 					})
 				}
 				all.Wait()
-				// That under way, and three that are full.
-				if most := time.Duration(longest.Load()); most > 5*s.takes+time.Millisecond {
+				// One transaction under way and three full ones.
+				if most := time.Duration(longest.Load()); most > 5*s.latency+time.Millisecond {
 					t.Errorf("a write has waited for %v", most)
 				}
 				page, _ := s.Read(t.Context(), Query{Table: "jobs", Part: "p"})
@@ -101,13 +98,13 @@
 	}
 }
 
-// What stands against one transaction does not hold up those that it was merged with, and
-// its caller is told its own rows only. Time is virtual.
+// A conflict affects only the call whose condition failed, and only that call's rows are
+// returned to it.
 func TestMergedConflictIsItsOwn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newQueueStore(3 * time.Millisecond)
+		s := newSerialStore(3 * time.Millisecond)
 		m := NewMerger(s)
-		if _, err := s.Memory.Transact(t.Context(), insertOf("there")); err != nil {
+		if _, err := s.Memory.Transact(t.Context(), insertTransaction("there")); err != nil {
 			t.Fatal(err)
 		}
 		outcomes := map[string]error{}
@@ -115,15 +112,15 @@
 		var all sync.WaitGroup
 		for _, name := range []string{"first", "there", "a", "b", "a"} {
 			all.Go(func() {
-				out, err := m.Transact(t.Context(), insertOf(name))
+				out, err := m.Transact(t.Context(), insertTransaction(name))
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil && (len(out.Current) != 1 || out.Current[0].Name != name) {
-					t.Errorf("%s: told of %v", name, out.Current)
+					t.Errorf("%s: got the rows %v", name, out.Current)
 				}
 				outcomes[name] = errors.Join(outcomes[name], err)
 			})
-			// The first is under way when the others come.
+			// The first is under way when the others are called.
 			wait.For(t.Context(), time.Microsecond)
 		}
 		all.Wait()
@@ -138,36 +135,36 @@
 	})
 }
 
-// A transaction whose caller has gone before it was sent is never made, and that is told; one
-// that was sent may have been made. Time is virtual.
+// A call that is cancelled before it was sent is never made and returns ErrNotDone; one that
+// was sent returns ErrUncertain.
 func TestMergedCallThatIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newQueueStore(100 * time.Millisecond)
+		s := newSerialStore(100 * time.Millisecond)
 		m := NewMerger(s)
 		giveUp := func(name string) error {
 			ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 			defer cancel()
-			_, err := m.Transact(ctx, insertOf(name))
+			_, err := m.Transact(ctx, insertTransaction(name))
 			return err
 		}
 		sent := make(chan error, 1)
 		go func() { sent <- giveUp("sent") }()
 		wait.For(t.Context(), time.Millisecond)
 		if err := giveUp("waits"); !errors.Is(err, ErrNotDone) {
-			t.Errorf("that which waits: %v", err)
+			t.Errorf("waiting call: %v", err)
 		}
 		if err := <-sent; !errors.Is(err, ErrUncertain) {
-			t.Errorf("that which was sent: %v", err)
+			t.Errorf("sent call: %v", err)
 		}
 		wait.For(t.Context(), time.Second)
-		if _, ok, _ := ReadOne(t.Context(), s, insertOf("waits").Conditions[0].Key); ok {
-			t.Error("what was told as not done was made")
+		if _, ok, _ := ReadOne(t.Context(), s, insertTransaction("waits").Conditions[0].Key); ok {
+			t.Error("a call that returned ErrNotDone took effect")
 		}
 	})
 }
 
-// Owners write through a merger into a store that turns calls away, loses calls and answers:
-// each write takes effect once, or its owner is told that it has not. Time is virtual.
+// With a store that refuses calls and loses calls or answers, each write takes effect exactly
+// once or its owner learns that it has not.
 func TestMergedWritesBesideFaults(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -178,7 +175,7 @@
 
 func writeBesideFaults(t *testing.T, seed uint64) {
 	const owners, writes = 12, 30
-	s := newQueueStore(3 * time.Millisecond)
+	s := newSerialStore(3 * time.Millisecond)
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, seed))
 	draw := func(n int) int {
@@ -188,7 +185,7 @@
 	}
 	fences := make([]Condition, owners)
 	for i := range fences {
-		fences[i] = fenceOf(t, s.Memory, fmt.Sprint(i))
+		fences[i] = putFence(t, s.Memory, fmt.Sprint(i))
 	}
 	s.SetFault(func(Call) Fault {
 		faults := []Fault{FaultRefuse, FaultLoseAnswer, FaultLoseCall, FaultSilent}
@@ -208,7 +205,7 @@
 		for w := range writes {
 			all.Add(1)
 			name := fmt.Sprintf("%d-%d", i, w)
-			c.Add(&Write{Transaction: insertOf(name), GiveUp: w%3 == 0, Done: func(_ Outcome, err error) {
+			c.Add(&Write{Transaction: insertTransaction(name), GiveUp: w%3 == 0, Done: func(_ Outcome, err error) {
 				defer all.Done()
 				mu.Lock()
 				defer mu.Unlock()
@@ -225,13 +222,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	there := map[string]bool{}
+	stored := map[string]bool{}
 	for _, row := range page.Rows {
-		there[row.Name] = true
+		stored[row.Name] = true
 	}
 	for name, n := range done {
-		if n != 1 || there[name] == refused[name] {
-			t.Errorf("%s: told %d times, refused %v, there %v", name, n, refused[name], there[name])
+		if n != 1 || stored[name] == refused[name] {
+			t.Errorf("%s: decided %d times, refused %v, stored %v", name, n, refused[name], stored[name])
 		}
 	}
 	if len(done) != owners*writes {
--- a/rowstore/rowstore.go
+++ b/rowstore/rowstore.go
@@ -1,9 +1,8 @@
-// Package rowstore is what rackspur needs of a transactional store of rows: the
-// interface, a group committer, and a client that reaches the store through
-// peers when the direct way is closed.
+// Package rowstore defines a transactional store of rows, and provides a group committer, a
+// follower of changes and an implementation in memory.
 //
-// A row stands in a table and a part. Each transaction takes the next value of
-// one counter as the version of the rows that it writes.
+// A row belongs to a table and a part. Each transaction increments one counter, whose value
+// becomes the version of the rows that it writes.
 package rowstore
 
 import (
@@ -15,32 +14,32 @@
 
 // Errors of a store.
 var (
-	// ErrNotDone says that the call had no effect and never will have one.
+	// ErrNotDone is returned if the call had no effect and never will have one.
 	ErrNotDone = eris.New("rowstore: not done")
-	// ErrUncertain says that no answer came: a write may have taken effect, or
-	// may do so later if its conditions still hold.
+	// ErrUncertain is returned if there was no answer: a write may have taken effect, or may
+	// do so later if its conditions still hold.
 	ErrUncertain = eris.New("rowstore: outcome unknown")
-	// ErrConflict says that a condition did not hold; nothing was written.
+	// ErrConflict is returned if a condition did not hold; nothing was written.
 	ErrConflict = eris.New("rowstore: conflict")
-	// ErrHistoryGone says that the changes asked for are no longer kept.
+	// ErrHistoryGone is returned if the requested changes are no longer stored.
 	ErrHistoryGone = eris.New("rowstore: history gone")
-	// ErrInvalid says that the store took the call for wrong; nothing was written.
+	// ErrInvalid is returned if the store rejected the call as invalid; nothing was written.
 	ErrInvalid = eris.New("rowstore: invalid call")
 )
 
-// Key names a row.
+// Key identifies a row.
 type Key struct {
 	Table string `json:"table"`
 	Part  string `json:"part"`
 	Name  string `json:"name"`
 }
 
-// Row is a row as it stands.
+// Row is a row with its current version.
 type Row struct {
 	Key
 	Value   []byte `json:"value,omitempty"`
 	Version uint64 `json:"version"`
-	// Gone marks a row that was deleted; it occurs in changes only.
+	// Gone marks a deleted row; it occurs only in changes.
 	Gone bool `json:"gone,omitempty"`
 }
 
@@ -56,16 +55,16 @@
 	Value []byte `json:"value"`
 }
 
-// Query selects rows of one part of a table in the order of their names.
+// Query selects rows of one part of a table, ordered by name.
 type Query struct {
 	Table string `json:"table"`
 	Part  string `json:"part"`
-	// From is the first name, Until the first name left out ("" for none).
+	// From is the first name to include, Until the first to exclude ("" for no bound).
 	From  string `json:"from,omitempty"`
 	Until string `json:"until,omitempty"`
 	Limit int    `json:"limit,omitempty"`
-	// MayBeOld is by how much the answer may be older than the call: who has asked for the
-	// same rows that long ago may hand on what it was told.
+	// MayBeOld is how much older than the call the answer may be: it allows sharing the
+	// answer of an earlier call.
 	MayBeOld time.Duration `json:"may_be_old,omitempty"`
 }
 
@@ -74,21 +73,21 @@
 	Rows    []Row  `json:"rows,omitempty"`
 	More    bool   `json:"more,omitempty"`
 	Version uint64 `json:"version"`
-	// Unreadable is how many rows could not be read and are left out. Through is the highest
-	// version of all rows, those included, and Last the last name; they are empty if they
-	// are not told, or can't be read either.
+	// Unreadable is the number of rows that were left out because they can't be read. Through
+	// is the highest version and Last the last name of all rows, including those; both are
+	// empty if unknown.
 	Unreadable int    `json:"unreadable,omitempty"`
 	Through    uint64 `json:"through,omitempty"`
 	Last       string `json:"last,omitempty"`
-	// Late is how long before the call the store was asked, where another call was joined:
-	// the answer may be as much older.
+	// Late is how much earlier than this call the store was asked, if the answer is shared:
+	// the answer may be that much older.
 	Late time.Duration `json:"late,omitempty"`
 }
 
-// ErrUnreadable says that a row is there and can't be read.
+// ErrUnreadable is returned if a row exists but can't be read.
 var ErrUnreadable = eris.New("rowstore: row can't be read")
 
-// LastName returns the name of the last row; "" if it is not known.
+// LastName returns the name of the last row; "" if it is unknown.
 func (p *Page) LastName() string {
 	if len(p.Rows) == 0 {
 		return p.Last
@@ -102,17 +101,16 @@
 	Transact(ctx context.Context, t Transaction) (Outcome, error)
 	// Read returns rows as of one moment.
 	Read(ctx context.Context, q Query) (Page, error)
-	// Changes waits until rows of a table have changed after a version, at most
-	// as long as given, and returns them. It returns ErrHistoryGone if the
-	// changes are no longer kept.
+	// Changes waits for changes of a table after a version, at most for wait, and returns
+	// them. It returns ErrHistoryGone if the changes are no longer stored.
 	Changes(ctx context.Context, table string, after uint64, wait time.Duration) (Page, error)
 }
 
-// ReadOne returns a row; ok says whether it exists.
+// ReadOne returns a row; ok reports whether it exists.
 func ReadOne(ctx context.Context, s Store, k Key) (row Row, ok bool, err error) {
 	page, err := s.Read(ctx, Query{Table: k.Table, Part: k.Part, From: k.Name, Until: k.Name + "\x00", Limit: 1})
 	if err == nil && page.Unreadable > 0 {
-		// Not to be taken for a row that is not there.
+		// An unreadable row must not pass for a missing one.
 		err = ErrUnreadable
 	}
 	if err != nil || len(page.Rows) == 0 || page.Rows[0].Name != k.Name {
@@ -121,7 +119,8 @@
 	return page.Rows[0], true, nil
 }
 
-// ReadAll returns all rows that a query selects, page by page.
+// ReadAll returns all rows that a query selects, page by page, and the store's version as of
+// the first page.
 func ReadAll(ctx context.Context, s Store, q Query) ([]Row, uint64, error) {
 	var rows []Row
 	var version uint64
--- a/rowstore/scan.go
+++ b/rowstore/scan.go
@@ -7,28 +7,26 @@
 	"rackspur/internal/wait"
 )
 
-// pageTimeout is the time for one page of a table that is read anew. A store that is slow
-// answers in a quarter of a second; with 0.7 s for a whole table of four pages no reader
-// ever got to its end, and all began with the first page again together.
+// pageTimeout is the timeout of one page; a slow store takes up to 250 ms.
 const pageTimeout = 700 * time.Millisecond
 
-// Scan reads parts of a table page by page. Each page has a time of its own, and what was
-// read stays read when one fails.
+// Scan reads parts of a table page by page. Each page has its own timeout, and a failed page
+// does not discard those before it.
 type Scan struct {
-	// MayBeOld is by how much a page may be older than the call for it; see Query.MayBeOld.
+	// MayBeOld is how much older than the call a page may be; see Query.MayBeOld.
 	MayBeOld time.Duration
 
 	table string
-	// parts are those that are left, from the first name to read in the first of them.
+	// parts are the parts that are left, from the next name to read in the first of them.
 	parts []string
 	from  string
-	// version is the lowest of the store's as of the pages, asOf the earliest time as of which
-	// one of them was read; zero before the first page.
+	// version is the lowest store version of the pages, asOf the earliest time as of which
+	// one was read; both are zero before the first page.
 	version uint64
 	asOf    time.Time
 }
 
-// NewScan returns a scan of parts of a table; nil stands for the part without a name.
+// NewScan returns a scan of parts of a table; nil means the part with the empty name.
 func NewScan(table string, parts []string) *Scan {
 	if parts == nil {
 		parts = []string{""}
@@ -36,17 +34,17 @@
 	return &Scan{table: table, parts: parts}
 }
 
-// Done says whether all has been read.
+// Done reports whether everything has been read.
 func (s *Scan) Done() bool { return len(s.parts) == 0 }
 
-// Version returns the store's version as of the oldest page: changes after it may be missing
-// in the pages.
+// Version returns the store's version as of the oldest page: the pages may lack later
+// changes.
 func (s *Scan) Version() uint64 { return s.version }
 
-// AsOf returns a time as of which everything that stood was read.
+// AsOf returns a time such that everything written before it has been read.
 func (s *Scan) AsOf() time.Time { return s.asOf }
 
-// Next reads the next page. After an error it tries the same page again.
+// Next reads the next page. After an error it retries the same page.
 func (s *Scan) Next(ctx context.Context, store Store) ([]Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
@@ -55,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.covered(page.Version, sent.Add(-page.Late))
+	s.cover(page.Version, sent.Add(-page.Late))
 	if !page.More || len(page.Rows)+page.Unreadable == 0 {
 		s.parts = s.parts[1:]
 		s.from = ""
@@ -69,8 +67,8 @@
 	return page.Rows, nil
 }
 
-// covered takes in the version and the time as of which a page was read.
-func (s *Scan) covered(version uint64, asOf time.Time) {
+// cover extends version and asOf to a page.
+func (s *Scan) cover(version uint64, asOf time.Time) {
 	first := s.asOf.IsZero()
 	// The version of an empty store is 0.
 	if first || version < s.version {
@@ -81,10 +79,11 @@
 	}
 }
 
-// scanPause is the time between two tries of a page.
-const scanPause = 50 * time.Millisecond
+// scanRetryPause is the time before a failed page is retried.
+const scanRetryPause = 50 * time.Millisecond
 
-// ScanAll reads all rows of parts of a table, until all are read or the context ends.
+// ScanAll reads all rows of parts of a table; it retries until that succeeds or the context
+// ends.
 func ScanAll(ctx context.Context, store Store, table string, parts []string) ([]Row, error) {
 	var all []Row
 	for s := NewScan(table, parts); !s.Done(); {
@@ -93,7 +92,7 @@
 			return nil, ctx.Err()
 		}
 		if err != nil {
-			wait.For(ctx, scanPause)
+			wait.For(ctx, scanRetryPause)
 			continue
 		}
 		all = append(all, rows...)
--- a/rowstore/scan_test.go
+++ b/rowstore/scan_test.go
@@ -11,17 +11,17 @@
 	"rackspur/internal/wait"
 )
 
-// pagedStore gives a few rows a page, each after a time.
+// pagedStore returns a few rows per page, each page with a latency.
 type pagedStore struct {
 	*Memory
-	rows  int
-	takes time.Duration
-	reads atomic.Int32
+	rows    int
+	latency time.Duration
+	reads   atomic.Int32
 }
 
 func (s *pagedStore) Read(ctx context.Context, q Query) (Page, error) {
 	s.reads.Add(1)
-	wait.For(ctx, s.takes)
+	wait.For(ctx, s.latency)
 	if ctx.Err() != nil {
 		return Page{}, ErrNotDone
 	}
@@ -29,10 +29,10 @@
 	return s.Memory.Read(ctx, q)
 }
 
-// newPagedStore returns a store with so many rows in each of two parts of a table.
+// newPagedStore returns a store with this number of rows in each of two parts of a table.
 func newPagedStore(t *testing.T, rows int) *pagedStore {
 	t.Helper()
-	s := &pagedStore{Memory: NewMemory(), rows: 10, takes: 240 * time.Millisecond}
+	s := &pagedStore{Memory: NewMemory(), rows: 10, latency: 240 * time.Millisecond}
 	for _, part := range scannedParts {
 		for i := range rows {
 			put := Put{Key: Key{Table: scannedTable, Part: part, Name: fmt.Sprintf("%03d", i)}, Value: []byte("x")}
@@ -48,8 +48,8 @@
 
 var scannedParts = []string{"a", "b"}
 
-// A table of eight pages is read from a store that takes 240 ms for each. With 0.7 s for
-// the whole table a follower began again after its second page, for ever. Time is virtual.
+// A follower reads a table of many pages from a slow store, though all pages together take
+// longer than the timeout of one.
 func TestFollowerReadsLongTableFromSlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -62,20 +62,19 @@
 		follower.Change = func(r Row) { taken[r.Key] = true }
 		began := time.Now()
 		go follower.Run(ctx)
-		time.Sleep(8*s.takes + time.Second)
+		time.Sleep(8*s.latency + time.Second)
 		synctest.Wait()
 		if len(taken) != 80 {
-			t.Errorf("%d rows taken in, want 80", len(taken))
+			t.Errorf("%d rows received, want 80", len(taken))
 		}
-		_, confirmed := f.now()
+		_, confirmed := f.state()
 		if confirmed.Before(began) {
-			t.Error("the table is not known")
+			t.Error("the table was not confirmed")
 		}
 	})
 }
 
-// A page that fails is tried again; those before it are not read a second time. Time is
-// virtual.
+// A failed page is retried, and those before it are not read again.
 func TestScanGoesOnWhereItWasBrokenOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newPagedStore(t, 40)
@@ -98,24 +97,24 @@
 	})
 }
 
-// agedPages answers reads with pages of given versions, each as old as given.
-type agedPages struct {
+// fixedPages answers reads with given pages.
+type fixedPages struct {
 	Store
 	pages []Page
 }
 
-func (s *agedPages) Read(context.Context, Query) (Page, error) {
+func (s *fixedPages) Read(context.Context, Query) (Page, error) {
 	page := s.pages[0]
 	s.pages = s.pages[1:]
 	return page, nil
 }
 
-// Pages that were handed on may be older than the first one. The scan covers what the oldest
-// of them does: changes after the first page's version would leave out what came between.
+// Shared pages may be older than the first one. The scan covers only what its oldest page
+// does, as the changes in between would be missed otherwise.
 func TestScanCoversItsOldestPage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const late = 1500 * time.Millisecond
-		s := &agedPages{pages: []Page{{Version: 12}, {Version: 9, Late: late}, {Version: 14}}}
+		s := &fixedPages{pages: []Page{{Version: 12}, {Version: 9, Late: late}, {Version: 14}}}
 		scan := NewScan(scannedTable, []string{"a", "b", "c"})
 		began := time.Now()
 		for !scan.Done() {
@@ -133,10 +132,8 @@
 	})
 }
 
-// A scan that begins in an empty store covers version 0: a row that is written to a part
-// which was read already comes with the changes after that. It took the version of a later
-// page, and one of six entry boxes never heard of the only agent ("waited in vain: an entry
-// is ready").
+// A scan that starts in an empty store covers version 0, so that a row written afterwards to
+// a part already read is among the changes that follow.
 func TestScanOfEmptyStore(t *testing.T) {
 	m := NewMemory()
 	scan := NewScan(scannedTable, scannedParts)
--- a/rowstore/transaction.go
+++ b/rowstore/transaction.go
@@ -1,16 +1,16 @@
 package rowstore
 
-// Transaction is all or nothing: the writes happen if every condition holds.
+// Transaction is atomic: its writes happen if every condition holds.
 type Transaction struct {
 	Conditions []Condition `json:"conditions,omitempty"`
 	Puts       []Put       `json:"puts,omitempty"`
 	Deletes    []Key       `json:"deletes,omitempty"`
-	// Merge says that it may be made in one with others of the same part. Every row that it
-	// puts or deletes stands in a condition then.
+	// Merge allows merging with other transactions of the same part. Every row that it puts
+	// or deletes must then be in a condition.
 	Merge bool `json:"merge,omitempty"`
 }
 
-// Entries is the number of entries that count against the limit of a transaction.
+// Entries returns the number of entries that count against the limit of a transaction.
 func (t *Transaction) Entries() int {
 	return len(t.Conditions) + len(t.Puts) + len(t.Deletes)
 }
@@ -23,7 +23,7 @@
 	return t.Conditions[0].Part
 }
 
-// size is the length of what is put, in bytes.
+// size returns the length of the values put, in bytes.
 func (t *Transaction) size() int {
 	n := 0
 	for _, p := range t.Puts {
@@ -32,15 +32,15 @@
 	return n
 }
 
-// add takes in what another transaction says.
+// add appends the contents of another transaction.
 func (t *Transaction) add(other *Transaction) {
 	t.Conditions = append(t.Conditions, other.Conditions...)
 	t.Puts = append(t.Puts, other.Puts...)
 	t.Deletes = append(t.Deletes, other.Deletes...)
 }
 
-// names says whether the transaction names one of some rows.
-func (t *Transaction) names(rows map[Key]bool) bool {
+// sharesKey reports whether a condition is on one of the rows.
+func (t *Transaction) sharesKey(rows map[Key]bool) bool {
 	for _, c := range t.Conditions {
 		if rows[c.Key] {
 			return true
@@ -49,14 +49,14 @@
 	return false
 }
 
-// addNames adds the rows that the transaction names.
-func (t *Transaction) addNames(rows map[Key]bool) {
+// addKeys adds the rows of the conditions.
+func (t *Transaction) addKeys(rows map[Key]bool) {
 	for _, c := range t.Conditions {
 		rows[c.Key] = true
 	}
 }
 
-// holds says whether all conditions hold with the rows that stand.
+// holds reports whether all conditions hold for the current rows.
 func (t *Transaction) holds(current map[Key]Row) bool {
 	for _, cond := range t.Conditions {
 		if current[cond.Key].Version != cond.Version {
@@ -66,8 +66,8 @@
 	return true
 }
 
-// against returns the rows of the conditions that stand.
-func (t *Transaction) against(current map[Key]Row) []Row {
+// currentRows returns the current rows of the conditions that exist.
+func (t *Transaction) currentRows(current map[Key]Row) []Row {
 	var rows []Row
 	for _, cond := range t.Conditions {
 		if row, ok := current[cond.Key]; ok {
@@ -77,16 +77,16 @@
 	return rows
 }
 
-// Outcome is the answer to a transaction.
+// Outcome is the result of a transaction.
 type Outcome struct {
-	// Version is the newest version of the store, that of the rows written.
+	// Version is the version of the rows written, or the store's version after a conflict.
 	Version uint64 `json:"version"`
-	// Current are the rows of the conditions as they stand, given with
-	// ErrConflict; a row that does not exist is missing or has version 0.
+	// Current holds the current rows of the conditions, given with ErrConflict; a row that
+	// does not exist is missing or has version 0.
 	Current []Row `json:"current,omitempty"`
 }
 
-// rows returns the rows that stand, by their keys.
+// rows returns the current rows that exist by their keys.
 func (o *Outcome) rows() map[Key]Row {
 	current := make(map[Key]Row, len(o.Current))
 	for _, row := range o.Current {
--- a/store/client.go
+++ b/store/client.go
@@ -21,25 +21,25 @@
 	PathBoxes   = "/v1/boxes"
 )
 
-// maxAnswer bounds what is read of an answer, in bytes.
-const maxAnswer = 64 << 20
+// maxAnswerBytes bounds the size of an answer.
+const maxAnswerBytes = 64 << 20
 
-// client is the platform's service over HTTP.
+// client calls the platform's service over HTTP.
 type client struct {
 	base    string
 	timeout time.Duration
 	http    *http.Client
 }
 
-// Option sets an option of NewClient.
+// Option configures the service that NewClient returns.
 type Option func(*client)
 
-// WithTimeout sets how long one call may take; the default is 2 s.
+// WithTimeout sets the timeout of a call; the default is 2 s.
 func WithTimeout(d time.Duration) Option {
 	return func(c *client) { c.timeout = d }
 }
 
-// NewClient returns the service at a base URL.
+// NewClient returns a client of the service at a base URL.
 func NewClient(base string, opts ...Option) Service {
 	c := &client{base: base, timeout: 2 * time.Second, http: &http.Client{Transport: http.DefaultTransport.(*http.Transport).Clone()}}
 	for _, o := range opts {
@@ -51,14 +51,14 @@
 // Get implements Table.Get.
 func (c *client) Get(ctx context.Context, key string) (Row, error) {
 	var row Row
-	err := c.read(ctx, PathTable+"/"+url.PathEscape(key), &row)
+	err := c.getJSON(ctx, PathTable+"/"+url.PathEscape(key), &row)
 	return row, err
 }
 
 // List implements Table.List.
 func (c *client) List(ctx context.Context, prefix string) ([]Row, error) {
 	var rows []Row
-	err := c.read(ctx, PathTable+"?prefix="+url.QueryEscape(prefix), &rows)
+	err := c.getJSON(ctx, PathTable+"?prefix="+url.QueryEscape(prefix), &rows)
 	return rows, err
 }
 
@@ -69,7 +69,7 @@
 		return eris.Wrap(ErrRefused, err.Error())
 	}
 	_, err = c.call(ctx, http.MethodPost, PathCommit, body)
-	return written(err)
+	return uncertainWrite(err)
 }
 
 // GetObject implements Objects.GetObject.
@@ -80,25 +80,26 @@
 // PutObject implements Objects.PutObject.
 func (c *client) PutObject(ctx context.Context, key string, value []byte) error {
 	_, err := c.call(ctx, http.MethodPut, PathObjects+"/"+url.PathEscape(key), value)
-	return written(err)
+	return uncertainWrite(err)
 }
 
 // ListBoxes implements Boxes.ListBoxes.
 func (c *client) ListBoxes(ctx context.Context) ([]Box, error) {
 	var boxes []Box
-	err := c.read(ctx, PathBoxes, &boxes)
+	err := c.getJSON(ctx, PathBoxes, &boxes)
 	return boxes, err
 }
 
-// written turns the lack of an answer to a write into ErrUncertain.
-func written(err error) error {
+// uncertainWrite turns ErrUnavailable into ErrUncertain, since an unanswered write may have
+// taken effect.
+func uncertainWrite(err error) error {
 	if errors.Is(err, ErrUnavailable) {
 		return eris.Wrap(ErrUncertain, err.Error())
 	}
 	return err
 }
 
-func (c *client) read(ctx context.Context, path string, into any) error {
+func (c *client) getJSON(ctx context.Context, path string, into any) error {
 	body, err := c.call(ctx, http.MethodGet, path, nil)
 	if err != nil {
 		return err
@@ -121,7 +122,7 @@
 		return nil, eris.Wrap(ErrUnavailable, err.Error())
 	}
 	defer res.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	answer, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, eris.Wrap(ErrUnavailable, err.Error())
 	}
--- a/store/contract_test.go
+++ b/store/contract_test.go
@@ -11,13 +11,13 @@
 	"rackspur/store"
 )
 
-// service is one implementation under the contract, with its faults.
+// service is an implementation under test, with the store that its faults are set on.
 type service struct {
 	store.Service
 	store *standin.Store
 }
 
-// implementations are all that must meet the contract.
+// implementations are those that must meet the contract.
 var implementations = map[string]func(t *testing.T) service{
 	"store": func(*testing.T) service {
 		s := standin.NewStore()
@@ -38,7 +38,7 @@
 	}
 }
 
-// contract holds what every implementation must do.
+// contract lists what every implementation must do.
 var contract = []struct {
 	name string
 	run  func(ctx context.Context, t *testing.T, s service)
@@ -135,7 +135,7 @@
 			}
 		}
 		if failed == 0 {
-			t.Error("every write was taken")
+			t.Error("every write was accepted")
 		}
 	}},
 }
--- a/store/platform.go
+++ b/store/platform.go
@@ -1,8 +1,8 @@
-// Package store speaks to the platform's service: a table service with
-// transactions, an object store, and a lagging list of boxes.
+// Package store is a client of the platform's service: a table service with transactions, an
+// object store, and a list of boxes that may lag.
 //
-// The interfaces are met by Client over HTTP and, in this repository's tests
-// and trials, by the stand-in's store. One contract test runs against both.
+// The Service interface is implemented by the HTTP client and, for tests and trials, by the
+// store of the stand-in platform. The same contract test runs against both.
 package store
 
 import (
@@ -13,15 +13,15 @@
 
 // Errors of this package.
 var (
-	// ErrUnavailable says that the service gave no answer; a read had no effect.
+	// ErrUnavailable is returned if the service gave no answer; a read had no effect.
 	ErrUnavailable = eris.New("store: unavailable")
-	// ErrUncertain says that a write may have taken effect though no answer came.
+	// ErrUncertain is returned if a write was not answered and may have taken effect.
 	ErrUncertain = eris.New("store: outcome of the write unknown")
-	// ErrConflict says that a condition of a commit did not hold; nothing was written.
+	// ErrConflict is returned if a condition of a commit did not hold; nothing was written.
 	ErrConflict = eris.New("store: conflict")
-	// ErrNotFound says that the key does not exist.
+	// ErrNotFound is returned if the key does not exist.
 	ErrNotFound = eris.New("store: not found")
-	// ErrRefused says that the service took the request for wrong.
+	// ErrRefused is returned if the service rejected the request as invalid.
 	ErrRefused = eris.New("store: request refused")
 )
 
@@ -29,7 +29,7 @@
 type Row struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
-	// Version grows with each write of the row, from 1.
+	// Version starts at 1 and increases with each write of the row.
 	Version uint64 `json:"version"`
 }
 
@@ -45,7 +45,7 @@
 	Value []byte `json:"value"`
 }
 
-// Commit is a transaction: all puts happen if all conditions hold, else none.
+// Commit is a transaction: all puts happen if all conditions hold, otherwise none.
 type Commit struct {
 	Conditions []Condition `json:"conditions"`
 	Puts       []Put       `json:"puts"`
@@ -55,7 +55,7 @@
 type Table interface {
 	// Get returns a row, ErrNotFound or ErrUnavailable.
 	Get(ctx context.Context, key string) (Row, error)
-	// List returns the rows whose keys have the prefix, in the order of the keys.
+	// List returns the rows whose keys have the prefix, ordered by key.
 	List(ctx context.Context, prefix string) ([]Row, error)
 	// Commit returns ErrConflict, ErrUncertain or nil.
 	Commit(ctx context.Context, c Commit) error
@@ -65,11 +65,11 @@
 type Objects interface {
 	// GetObject returns an object, ErrNotFound or ErrUnavailable.
 	GetObject(ctx context.Context, key string) ([]byte, error)
-	// PutObject writes an object whole. It returns ErrUncertain or nil.
+	// PutObject replaces an object. It returns ErrUncertain or nil.
 	PutObject(ctx context.Context, key string, value []byte) error
 }
 
-// BoxState is what the platform says of a box.
+// BoxState is a box's state according to the platform.
 type BoxState string
 
 // The states of a box.
@@ -91,19 +91,19 @@
 type Box struct {
 	Name string `json:"name"`
 	Role Role   `json:"role"`
-	// Address is where the box's process of ours serves the others.
+	// Address is where the rackspur process on the box serves others.
 	Address string   `json:"address"`
 	Domain  string   `json:"domain"`
 	State   BoxState `json:"state"`
 }
 
-// Boxes is the platform's lagging list.
+// Boxes is the platform's list of boxes.
 type Boxes interface {
-	// ListBoxes returns the list, which may lag behind the truth, or ErrUnavailable.
+	// ListBoxes returns the list, which may lag, or ErrUnavailable.
 	ListBoxes(ctx context.Context) ([]Box, error)
 }
 
-// Service is all that rackspur uses of the platform.
+// Service is everything that rackspur uses of the platform.
 type Service interface {
 	Table
 	Objects
