--- a/config/check.go
+++ b/config/check.go
@@ -8,7 +8,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Bounds of a document.
+// Upper bounds of the values in a document.
 const (
 	maxLeaseMS   = 600_000
 	maxTaskBound = 10_000
@@ -17,32 +17,32 @@
 
 // Errors of this package.
 var (
-	// ErrInvalid says that a document is wrong; nothing of it is used.
+	// ErrInvalid is returned for a malformed document, which is rejected as a whole.
 	ErrInvalid = eris.New("config: invalid document")
-	// ErrConflict says that another operator's change came first.
+	// ErrConflict is returned when another change was accepted first.
 	ErrConflict = eris.New("config: conflict")
-	// ErrUnavailable says that the platform's service gave no answer.
+	// ErrUnavailable is returned when the platform's table service does not answer.
 	ErrUnavailable = eris.New("config: platform unavailable")
 )
 
-// nameForm is the form of the names of members, kinds and targets.
-var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
+// namePattern matches the names of members, kinds and targets.
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
-// problems collects everything that is wrong with a document.
+// problems collects the violations found in a document.
 type problems []string
 
 func (p *problems) add(format string, args ...any) {
 	*p = append(*p, fmt.Sprintf(format, args...))
 }
 
-// Check returns an ErrInvalid that names every fault of the document.
+// Check validates the document and returns an ErrInvalid that lists every violation.
 func (d *Document) Check() error {
 	var p problems
 	d.checkMembers(&p)
 	d.checkKinds(&p)
 	d.checkLimits(&p)
 	for _, name := range d.Leaving {
-		if !nameForm.MatchString(name) {
+		if !namePattern.MatchString(name) {
 			p.add("leaving: %q is no target name", name)
 		}
 	}
@@ -58,8 +58,8 @@
 	}
 	seen := map[string]bool{}
 	for i, m := range d.Members {
-		if !nameForm.MatchString(m.Name) {
-			p.add("members[%d].name: %q must match %s", i, m.Name, nameForm)
+		if !namePattern.MatchString(m.Name) {
+			p.add("members[%d].name: %q must match %s", i, m.Name, namePattern)
 		}
 		if seen[m.Name] {
 			p.add("members[%d].name: %q is declared twice", i, m.Name)
@@ -85,8 +85,8 @@
 	}
 	seen := map[string]bool{}
 	for i, k := range d.Kinds {
-		if !nameForm.MatchString(k.Name) {
-			p.add("kinds[%d].name: %q must match %s", i, k.Name, nameForm)
+		if !namePattern.MatchString(k.Name) {
+			p.add("kinds[%d].name: %q must match %s", i, k.Name, namePattern)
 		}
 		if seen[k.Name] {
 			p.add("kinds[%d].name: %q is declared twice", i, k.Name)
--- a/config/document.go
+++ b/config/document.go
@@ -1,8 +1,9 @@
-// Package config reads, checks and keeps the declarations of operators.
+// Package config parses, validates and stores the operators' configuration.
 //
-// A document declares members, kinds of request, targets, limits and policies.
-// It is written in YAML, checked whole, and kept in canonical JSON. Accepted
-// documents are numbered; a process only ever moves to a higher number.
+// A configuration document declares members, kinds of request, leaving targets,
+// limits and policies. Operators write it in YAML; it is validated as a whole and
+// stored as canonical JSON. Accepted documents get increasing version numbers, and
+// a process never goes back to a lower version.
 package config
 
 import (
@@ -23,75 +24,74 @@
 	DefaultMaxWaitMS       = 60_000
 )
 
-// Document is one declaration of the whole system.
+// Document is a complete configuration.
 type Document struct {
 	// Members may send submissions.
 	Members []Member `yaml:"members" json:"members"`
 	// Kinds are the kinds of request.
 	Kinds []Kind `yaml:"kinds" json:"kinds"`
-	// Leaving names the targets that shall receive no new work.
+	// Leaving lists the targets that receive no new work.
 	Leaving []string `yaml:"leaving" json:"leaving,omitempty"`
-	// Limits bound what callers may ask.
+	// Limits bound the requests of callers.
 	Limits Limits `yaml:"limits" json:"limits"`
-	// Policies are the programs that decide; empty ones mean the default.
+	// Policies are the policy programs.
 	Policies Policies `yaml:"policies" json:"policies"`
 }
 
-// Member is a customer of the system.
+// Member is an organisation that sends submissions.
 type Member struct {
 	Name string `yaml:"name" json:"name"`
 	// Secrets are hashed credentials, as HashSecret returns them.
 	Secrets []string `yaml:"secrets" json:"secrets"`
-	// Rate is the quota in submissions a second; 0 means no bound.
+	// Rate is the quota in submissions per second; 0 means unlimited.
 	Rate float64 `yaml:"rate" json:"rate,omitempty"`
-	// Concurrency is the quota of submissions in flight; 0 means no bound.
+	// Concurrency is the maximum number of submissions in flight; 0 means unlimited.
 	Concurrency int `yaml:"concurrency" json:"concurrency,omitempty"`
-	// Weight is the member's share in the queues, 1 if not given.
+	// Weight is the member's relative share of the queues; the default is 1.
 	Weight int `yaml:"weight" json:"weight,omitempty"`
 }
 
 // Kind is a kind of request.
 type Kind struct {
 	Name string `yaml:"name" json:"name"`
-	// Repeatable requests may be sent without an id.
+	// Repeatable says that requests of this kind may be sent without an id.
 	Repeatable bool `yaml:"repeatable" json:"repeatable,omitempty"`
-	// ExpectMS is the usual run time of a task in milliseconds.
+	// ExpectMS is the expected run time of a task in milliseconds.
 	ExpectMS int `yaml:"expect_ms" json:"expect_ms"`
-	// LeaseMS is the longest run time of a task in milliseconds.
+	// LeaseMS is the maximum run time of a task in milliseconds.
 	LeaseMS int `yaml:"lease_ms" json:"lease_ms"`
-	// DeadlineMS bounds the whole job when the caller names no deadline.
+	// DeadlineMS is the default deadline of a job in milliseconds.
 	DeadlineMS int `yaml:"deadline_ms" json:"deadline_ms"`
 }
 
-// Limits bound requests and the memory kept for them.
+// Limits bounds the requests of callers and the memory used for them.
 type Limits struct {
-	// MaxTasks is the largest number of tasks in a job.
+	// MaxTasks is the maximum number of tasks in a job.
 	MaxTasks int `yaml:"max_tasks" json:"max_tasks"`
-	// MaxBodyBytes is the largest body of a request.
+	// MaxBodyBytes is the maximum size of a request body.
 	MaxBodyBytes int64 `yaml:"max_body_bytes" json:"max_body_bytes"`
-	// MaxWaitMS is the longest expected wait that is admitted.
+	// MaxWaitMS is the maximum expected queueing time at which a job is still admitted.
 	MaxWaitMS int `yaml:"max_wait_ms" json:"max_wait_ms"`
-	// BlockLifetimeMS is how long ids and outcomes are remembered.
+	// BlockLifetimeMS is how long the ids of a block and their outcomes are retained.
 	BlockLifetimeMS int `yaml:"block_lifetime_ms" json:"block_lifetime_ms"`
-	// BlockMintMS is how long an entry box mints ids from a block.
+	// BlockMintMS is how long an entry box generates ids from a block.
 	BlockMintMS int `yaml:"block_mint_ms" json:"block_mint_ms"`
 }
 
-// Policies holds the source of each program.
+// Policies holds the source of each policy program.
 type Policies struct {
-	// Base names the shipped set used where a program is empty.
+	// Base names the built-in set that supplies the programs left empty.
 	Base  string `yaml:"base" json:"base,omitempty"`
 	Admit string `yaml:"admit" json:"admit,omitempty"`
 	Place string `yaml:"place" json:"place,omitempty"`
 	Retry string `yaml:"retry" json:"retry,omitempty"`
 	Drain string `yaml:"drain" json:"drain,omitempty"`
-	// Shadow names a shipped set that runs beside the one in force; its
-	// differing decisions are only counted.
+	// Shadow names a built-in set that is evaluated along with the active one;
+	// decisions that differ are only counted.
 	Shadow string `yaml:"shadow" json:"shadow,omitempty"`
 }
 
-// ParsePolicies reads the policies of a declaration that stand in a file of
-// their own. Unknown fields are errors.
+// ParsePolicies parses policies from a separate YAML file. Unknown fields are errors.
 func ParsePolicies(text []byte) (Policies, error) {
 	dec := yaml.NewDecoder(bytes.NewReader(text))
 	dec.KnownFields(true)
@@ -102,7 +102,7 @@
 	return p, nil
 }
 
-// Parse reads a YAML declaration. Unknown fields are errors.
+// Parse parses and validates a YAML document. Unknown fields are errors.
 func Parse(text []byte) (*Document, error) {
 	dec := yaml.NewDecoder(bytes.NewReader(text))
 	dec.KnownFields(true)
@@ -117,7 +117,7 @@
 	return &d, nil
 }
 
-// Decode reads the canonical JSON form.
+// Decode parses and validates the canonical JSON form. Unknown fields are errors.
 func Decode(b []byte) (*Document, error) {
 	dec := json.NewDecoder(bytes.NewReader(b))
 	dec.DisallowUnknownFields()
@@ -161,7 +161,7 @@
 	return nil
 }
 
-// IsLeaving reports whether the target is declared to leave.
+// IsLeaving reports whether the target is listed as leaving.
 func (d *Document) IsLeaving(target string) bool {
 	for _, name := range d.Leaving {
 		if name == target {
@@ -171,12 +171,12 @@
 	return false
 }
 
-// BlockLifetime returns how long a block is remembered.
+// BlockLifetime returns how long a block is retained.
 func (l Limits) BlockLifetime() time.Duration {
 	return time.Duration(l.BlockLifetimeMS) * time.Millisecond
 }
 
-// fill puts defaults where the declaration is silent.
+// fill sets the fields that the document omits to their defaults.
 func (d *Document) fill() {
 	setDefault(&d.Limits.MaxTasks, DefaultMaxTasks)
 	setDefault(&d.Limits.MaxBodyBytes, DefaultMaxBodyBytes)
--- a/config/document_test.go
+++ b/config/document_test.go
@@ -12,7 +12,7 @@
 	"rackspur/wire"
 )
 
-// documentCase is a case of testdata/documents.yaml.
+// documentCase is a test case of testdata/documents.yaml.
 type documentCase struct {
 	Case     int    `yaml:"case"`
 	Document string `yaml:"document"`
@@ -47,7 +47,7 @@
 			}
 			again, err := Decode(d.Encode())
 			if err != nil || string(again.Encode()) != string(d.Encode()) {
-				t.Errorf("the canonical form does not read back: %v", err)
+				t.Errorf("canonical form does not round-trip: %v", err)
 			}
 		})
 	}
@@ -63,7 +63,7 @@
 			return
 		}
 		if _, err := Decode(d.Encode()); err != nil {
-			t.Errorf("a good document does not read back: %v", err)
+			t.Errorf("valid document does not round-trip: %v", err)
 		}
 	})
 }
@@ -88,13 +88,13 @@
 		t.Errorf("version %d, seen %v", h.Version(), seen)
 	}
 	if h.For(5) != nil || h.For(4).GetVersion() != 5 {
-		t.Error("the wrong peers are sent the configuration")
+		t.Error("For attaches the configuration for a peer that is up to date, or omits it for one that is behind")
 	}
 }
 
 func TestMatchSecret(t *testing.T) {
 	hash := HashSecret("right")
 	if !MatchSecret(hash, "right") || MatchSecret(hash, "wrong") || MatchSecret("x", "right") || MatchSecret("", "") {
-		t.Error("secrets are not told apart")
+		t.Error("MatchSecret accepts a wrong secret or rejects the right one")
 	}
 }
--- a/config/holder.go
+++ b/config/holder.go
@@ -7,7 +7,7 @@
 	"rackspur/wire"
 )
 
-// Accepted is a numbered configuration in force.
+// Accepted is a configuration that was accepted under a version number.
 type Accepted struct {
 	Version  uint64
 	ChangeID string
@@ -15,12 +15,12 @@
 	encoded  *wire.Config
 }
 
-// Wire returns the form sent to other processes. It is shared; don't change it.
+// Wire returns the message sent to other processes. It is shared and must not be modified.
 func (a *Accepted) Wire() *wire.Config {
 	return a.encoded
 }
 
-// Holder keeps the configuration in force in one process. It never goes back.
+// Holder holds the current configuration of a process. Its version never decreases.
 type Holder struct {
 	mu      sync.Mutex
 	current *Accepted
@@ -33,14 +33,14 @@
 	return &Holder{changed: make(chan struct{})}
 }
 
-// Current returns the configuration in force, or nil before the first one.
+// Current returns the current configuration, or nil before the first one.
 func (h *Holder) Current() *Accepted {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.current
 }
 
-// Version returns the version in force, 0 before the first one.
+// Version returns the current version, or 0 before the first one.
 func (h *Holder) Version() uint64 {
 	if a := h.Current(); a != nil {
 		return a.Version
@@ -48,8 +48,8 @@
 	return 0
 }
 
-// OnChange registers f to be called, in order, with each configuration that
-// comes into force from now on, and with the present one.
+// OnChange registers f to be called with the current configuration, if there is
+// one, and with each later one in order.
 func (h *Holder) OnChange(f func(*Accepted)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -59,14 +59,14 @@
 	}
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed when the configuration next changes.
 func (h *Holder) Changed() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.changed
 }
 
-// Await returns the configuration in force once there is one.
+// Await waits for the first configuration and returns the current one.
 func (h *Holder) Await(ctx context.Context) (*Accepted, error) {
 	for {
 		changed := h.Changed()
@@ -81,8 +81,8 @@
 	}
 }
 
-// Offer takes a configuration into force if it is newer. It reports an
-// ErrInvalid for a document that can't be read and keeps what it has.
+// Offer replaces the current configuration if c is newer. It returns an ErrInvalid
+// and keeps the current one if the document can't be decoded.
 func (h *Holder) Offer(c *wire.Config) error {
 	if c == nil || c.GetVersion() <= h.Version() {
 		return nil
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// For returns what to attach to a message for a peer that has the given
-// version: the present configuration if the peer is behind, else nil.
+// For returns the configuration to attach to a message for a peer that has the
+// given version: the current one if the peer's is older, otherwise nil.
 func (h *Holder) For(peer uint64) *wire.Config {
 	a := h.Current()
 	if a == nil || a.Version <= peer {
--- a/config/secret.go
+++ b/config/secret.go
@@ -8,15 +8,15 @@
 	"strings"
 )
 
-// A hashed secret is "sha256$salt$digest". Secrets are drawn by NewSecret with
-// 128 random bits, so a slow password hash would add nothing.
+// A hashed secret has the form "sha256$salt$digest". NewSecret generates secrets of
+// at least 128 random bits, so they need no slow password hash.
 const (
 	hashScheme = "sha256"
 	hashParts  = 3
 	saltBytes  = 8
 )
 
-// NewSecret returns a fresh random secret for a member.
+// NewSecret returns a new random secret for a member.
 func NewSecret() string {
 	return rand.Text()
 }
@@ -29,7 +29,8 @@
 	return strings.Join([]string{hashScheme, text, digest(text, secret)}, "$")
 }
 
-// MatchSecret reports in constant time whether the secret has the hash.
+// MatchSecret reports whether the hash is that of the secret. The digests are
+// compared in constant time.
 func MatchSecret(hash, secret string) bool {
 	parts := strings.Split(hash, "$")
 	if len(parts) != hashParts {
--- a/config/store.go
+++ b/config/store.go
@@ -14,16 +14,16 @@
 	"rackspur/wire"
 )
 
-// Keys of the rows in the platform's table.
+// Row keys in the platform's table.
 const (
 	keyCurrent = "config/current"
 	keyHistory = "config/history/"
 )
 
-// resolveTries is how often a lost answer is resolved by reading back.
+// resolveTries is how often the outcome of a commit without an answer is looked up.
 const resolveTries = 10
 
-// Record is an accepted change as it stands in the table.
+// Record is the stored form of an accepted change.
 type Record struct {
 	Version  uint64          `json:"version"`
 	ChangeID string          `json:"change_id"`
@@ -32,28 +32,28 @@
 	Document json.RawMessage `json:"document"`
 }
 
-// Wire returns the form sent between processes.
+// Wire returns the message sent between processes.
 func (r *Record) Wire() *wire.Config {
 	return &wire.Config{Version: r.Version, ChangeId: r.ChangeID, Document: r.Document}
 }
 
-// Store keeps the accepted configurations in the platform's table.
+// Store stores the accepted configurations in the platform's table.
 type Store struct {
 	table store.Table
 }
 
-// NewStore returns the store on a table.
+// NewStore returns a Store that uses a table.
 func NewStore(t store.Table) *Store {
 	return &Store{table: t}
 }
 
-// Current returns the accepted record, nil if there is none yet, or ErrUnavailable.
+// Current returns the record of the current configuration, or nil if none was accepted.
 func (s *Store) Current(ctx context.Context) (*Record, error) {
 	r, _, err := s.read(ctx, keyCurrent)
 	return r, err
 }
 
-// History returns the accepted records in the order of their versions.
+// History returns all accepted records, ordered by version.
 func (s *Store) History(ctx context.Context) ([]Record, error) {
 	rows, err := s.table.List(ctx, keyHistory)
 	if err != nil {
@@ -68,39 +68,40 @@
 	return records, nil
 }
 
-// Change is a declaration to be accepted.
+// Change is a document that an operator submits for acceptance.
 type Change struct {
-	// ID names the change, so that a lost answer can be resolved.
+	// ID identifies the change, so that its outcome can be looked up after a lost answer.
 	ID string
-	// Base is the version that the operator started from.
+	// Base is the version that the change is based on.
 	Base     uint64
 	Author   string
 	Document *Document
 }
 
-// Apply has a change accepted. It returns the accepted record, an ErrConflict
-// that names the other change, or ErrUnavailable if the outcome can't be learned.
+// Apply commits a change and returns its record. It returns an ErrConflict that names
+// the other change if another one was accepted first, or ErrUnavailable if the outcome
+// is unknown.
 func (s *Store) Apply(ctx context.Context, c Change) (*Record, error) {
-	now, row, err := s.read(ctx, keyCurrent)
+	current, rowVersion, err := s.read(ctx, keyCurrent)
 	if err != nil {
 		return nil, err
 	}
 	version := uint64(0)
-	if now != nil {
-		version = now.Version
+	if current != nil {
+		version = current.Version
 	}
 	if version != c.Base {
-		return nil, conflict(now)
+		return nil, conflict(current)
 	}
 	next := &Record{Version: version + 1, ChangeID: c.ID, Author: c.Author, Time: time.Now().UTC(), Document: c.Document.Encode()}
-	err = s.table.Commit(ctx, commitOf(next, row))
+	err = s.table.Commit(ctx, commitOf(next, rowVersion))
 	if err == nil {
 		return next, nil
 	}
 	return s.resolve(ctx, next, err)
 }
 
-// resolve learns what became of a commit whose answer was lost or a conflict.
+// resolve determines the outcome of a commit that failed, conflicted or got no answer.
 func (s *Store) resolve(ctx context.Context, next *Record, cause error) (*Record, error) {
 	for try := 0; ; try++ {
 		got, _, err := s.read(ctx, historyKey(next.Version))
@@ -134,13 +135,13 @@
 	return &r, row.Version, nil
 }
 
-func commitOf(r *Record, row uint64) store.Commit {
+func commitOf(r *Record, rowVersion uint64) store.Commit {
 	value, err := json.Marshal(r)
 	if err != nil {
 		panic(err) // a record holds only text, numbers and valid JSON
 	}
 	return store.Commit{
-		Conditions: []store.Condition{{Key: keyCurrent, Version: row}, {Key: historyKey(r.Version)}},
+		Conditions: []store.Condition{{Key: keyCurrent, Version: rowVersion}, {Key: historyKey(r.Version)}},
 		Puts:       []store.Put{{Key: keyCurrent, Value: value}, {Key: historyKey(r.Version), Value: value}},
 	}
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,8 +1,8 @@
-// Package settings reads a role's settings from flags and environment
-// variables of the same names and checks all of them at start.
+// Package settings reads the settings of a role from command-line flags and
+// environment variables and validates all of them at startup.
 //
-// A setting "target-url" is the flag --target-url and the environment variable
-// RACKSPUR_TARGET_URL; the flag wins.
+// The setting "target-url" is given by the flag --target-url or the environment
+// variable RACKSPUR_TARGET_URL; the flag takes precedence.
 package settings
 
 import (
@@ -19,18 +19,18 @@
 	"github.com/spf13/pflag"
 )
 
-// EnvPrefix starts the name of every environment variable.
+// EnvPrefix is the prefix of the environment variables.
 const EnvPrefix = "RACKSPUR_"
 
-// ErrWrong says that at least one setting is wrong; its text names each.
+// ErrWrong is returned if any setting is invalid; its text lists all that are.
 var ErrWrong = eris.New("settings: wrong settings")
 
 // Setting describes one setting.
 type Setting struct {
 	Name, Default, Usage string
-	// Right says what a right value looks like.
+	// Right describes the valid values.
 	Right string
-	// Required settings have no default.
+	// Required says that the setting must not be empty.
 	Required bool
 	parse    func(text string) error
 	raw      *string
@@ -41,13 +41,13 @@
 	return EnvPrefix + strings.ToUpper(strings.ReplaceAll(s.Name, "-", "_"))
 }
 
-// Set is the settings of one role.
+// Set holds the settings of one role.
 type Set struct {
 	flags *pflag.FlagSet
 	list  []*Setting
 }
 
-// NewSet returns an empty set whose flags are added to fs.
+// NewSet returns an empty set that registers its flags with fs.
 func NewSet(fs *pflag.FlagSet) *Set {
 	return &Set{flags: fs}
 }
@@ -57,7 +57,7 @@
 	return s.list
 }
 
-// Check reads every setting and reports all wrong ones at once as ErrWrong.
+// Check parses every setting and returns an ErrWrong that lists all invalid ones.
 func (s *Set) Check() error {
 	var wrong []string
 	for _, d := range s.list {
@@ -96,13 +96,13 @@
 	return d
 }
 
-// Require marks the setting as one that must be given.
+// Require marks the setting as required.
 func (s *Setting) Require() *Setting {
 	s.Required = true
 	return s
 }
 
-// String defines a setting of free text.
+// String defines a free-text setting.
 func (s *Set) String(v *string, name, def, usage string) *Setting {
 	return s.add(name, def, usage, "any text", func(text string) error {
 		*v = text
@@ -110,7 +110,7 @@
 	})
 }
 
-// Choice defines a setting with a few values.
+// Choice defines a setting that takes one of the given choices.
 func (s *Set) Choice(v *string, name, def, usage string, choices ...string) *Setting {
 	return s.add(name, def, usage, "one of "+strings.Join(choices, ", "), func(text string) error {
 		for _, c := range choices {
@@ -123,7 +123,7 @@
 	})
 }
 
-// Address defines a setting with an IP address and a port.
+// Address defines a setting that takes an IP address and a port.
 func (s *Set) Address(v *string, name, def, usage string) *Setting {
 	return s.add(name, def, usage, "an IP address and a port, like 127.0.0.1:7000", func(text string) error {
 		a, err := netip.ParseAddrPort(text)
@@ -135,7 +135,7 @@
 	})
 }
 
-// URL defines a setting with an http or https URL.
+// URL defines a setting that takes an http or https URL with a port.
 func (s *Set) URL(v *string, name, def, usage string) *Setting {
 	return s.add(name, def, usage, "a URL, like http://127.0.0.1:7100", func(text string) error {
 		u, err := url.Parse(text)
@@ -153,7 +153,7 @@
 	})
 }
 
-// Int defines a setting with a whole number from low to high.
+// Int defines a setting that takes an integer between low and high, inclusive.
 func (s *Set) Int(v *int, name string, def int, usage string, low, high int) *Setting {
 	right := fmt.Sprintf("a whole number from %d to %d", low, high)
 	return s.add(name, strconv.Itoa(def), usage, right, func(text string) error {
@@ -169,7 +169,7 @@
 	})
 }
 
-// Duration defines a setting with a time from low to high.
+// Duration defines a setting that takes a duration between low and high, inclusive.
 func (s *Set) Duration(v *time.Duration, name string, def time.Duration, usage string, low, high time.Duration) *Setting {
 	right := fmt.Sprintf("a duration from %s to %s", low, high)
 	return s.add(name, def.String(), usage, right, func(text string) error {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/pflag"
 )
 
-// TestCheckNamesEveryFault gives several wrong settings at once.
+// TestCheckNamesEveryFault checks that every invalid setting is reported, not only the first.
 func TestCheckNamesEveryFault(t *testing.T) {
 	t.Setenv("RACKSPUR_WAIT", "soon")
 	fs := pflag.NewFlagSet("test", pflag.ContinueOnError)
