--- a/node/agent.go
+++ b/node/agent.go
@@ -15,10 +15,10 @@
 	"rackspur/rpc"
 )
 
-// Agent is an agent: the gate beside an executor.
+// Agent is a box that runs the gate of a target.
 type Agent struct {
 	options  Options
-	executor gate.Executor
+	target   gate.Executor
 	listener net.Listener
 	log      logr.Logger
 	driver   *gate.Driver
@@ -26,9 +26,9 @@
 	box      member.Box
 }
 
-// NewAgent returns an agent that listens for other boxes. The context
-// ends its calls to the executor.
-func NewAgent(ctx context.Context, o Options, e gate.Executor) (*Agent, error) {
+// NewAgent returns an agent and starts listening for other boxes. Calls to the target
+// are cancelled when the context ends.
+func NewAgent(ctx context.Context, o Options, target gate.Executor) (*Agent, error) {
 	listener, err := net.Listen("tcp", o.Listen)
 	if err != nil {
 		return nil, eris.Wrap(ErrServe, err.Error())
@@ -37,8 +37,8 @@
 	incarnation := o.Node + "~" + uuid.NewString()[:8]
 	g := gate.New(gateOptions(o, incarnation))
 	a := &Agent{
-		options: o, executor: e, listener: listener, log: o.Log,
-		driver: gate.NewDriver(ctx, g, e, o.Log),
+		options: o, target: target, listener: listener, log: o.Log,
+		driver: gate.NewDriver(ctx, g, target, o.Log),
 		seeds:  newSeeds(o.Seeds, o.Advertise, o.Metrics),
 		box:    member.Box{Node: o.Node, Role: member.RoleAgent, Zone: o.Zone, Address: o.Advertise, Incarnation: incarnation},
 	}
@@ -46,7 +46,7 @@
 	return a, nil
 }
 
-// Driver returns the driver of the gate.
+// Driver returns the gate's driver.
 func (a *Agent) Driver() *gate.Driver { return a.driver }
 
 // Run serves until the context ends.
@@ -59,8 +59,8 @@
 	defer server.Stop()
 	store := peer.NewRelayedStore(a.options.Store, a, a.options.Metrics, a.log)
 	go member.KeepRegistered(ctx, store, a.box, a.log)
-	kept := &descriptions{store: store, node: a.options.Node, driver: a.driver, unreadable: a.options.Unreadable, log: a.log}
-	go kept.run(ctx)
+	d := &descriptions{store: store, node: a.options.Node, driver: a.driver, unreadable: a.options.Unreadable, log: a.log}
+	go d.run(ctx)
 	if a.options.ReadEvacuations != nil {
 		go newEvacuationWatch(a.options, store, a.driver).run(ctx)
 	}
@@ -73,5 +73,6 @@
 // Some implements peer.Peers.Some with the seeds.
 func (a *Agent) Some(n int) []peerpb.PeerClient { return a.seeds.some(n) }
 
-// Stop makes the gate take no more orders and waits until it is idle.
+// Stop drains the gate: it accepts no more orders and waits until no run is left or the
+// context ends.
 func (a *Agent) Stop(ctx context.Context) { a.driver.Drain(ctx) }
--- a/node/ask.go
+++ b/node/ask.go
@@ -18,25 +18,25 @@
 	"rackspur/rpc"
 )
 
-// Errors of questions about jobs.
+// Errors of job queries.
 var (
-	// ErrUnknownJob says that no such job exists.
+	// ErrUnknownJob is returned if no such job exists.
 	ErrUnknownJob = eris.New("node: unknown job")
-	// ErrUnsure says that the state of a job can't be told now.
-	ErrUnsure = eris.New("node: state of the job can't be told now")
+	// ErrUnsure is returned if the state of a job can't be determined at present.
+	ErrUnsure = eris.New("node: job state can't be determined at present")
 )
 
-// Times that a question for a state waits for the end of a job. Callers ask as the last
-// task ends and ask again only much later.
+// How long a state query waits for the end of a job. Callers query as the last task ends,
+// and again only much later.
 const (
-	// endPatience holds for any job: it takes about 10 ms until an end is known here.
-	endPatience = 40 * time.Millisecond
-	// finalPatience holds once the end is known and being written, which takes 20 ms,
-	// and 0.5 s if the store is slow.
-	finalPatience = 500 * time.Millisecond
+	// endWait applies to any job; an end takes about 10 ms to be known here.
+	endWait = 40 * time.Millisecond
+	// finalWait applies once the end is being written, which takes 20 ms, or 0.5 s if the
+	// store is slow.
+	finalWait = 500 * time.Millisecond
 )
 
-// JobState returns the state of a job, whoever owns it.
+// JobState returns the state of a job owned by any entry box.
 func (e *Entry) JobState(ctx context.Context, id job.ID) (job.State, error) {
 	if state, ok := e.State(ctx, id); ok {
 		return state, nil
@@ -58,7 +58,8 @@
 	return "", ErrUnknownJob
 }
 
-// askState asks the owner of a job that has not ended for its state.
+// askState asks the owner of a job for its state; the job counts as running if the owner
+// does not answer.
 func (e *Entry) askState(ctx context.Context, r *job.Record) job.State {
 	a, err := e.ask(ctx, r.Owner, &peerpb.Question{Kind: peerpb.Question_STATE, Job: string(r.ID)})
 	if err != nil || !a.GetKnown() || a.GetState() == "" {
@@ -67,7 +68,8 @@
 	return job.State(a.GetState())
 }
 
-// CancelJob cancels a job, whoever owns it. Nil says that it is durable.
+// CancelJob cancels a job owned by any entry box. It returns nil once the cancellation is
+// durable or the job has ended.
 func (e *Entry) CancelJob(ctx context.Context, id job.ID) error {
 	result := make(chan bool, 1)
 	if e.Cancel(id, func(ok bool) { result <- ok }) {
@@ -117,56 +119,56 @@
 	return job.DecodeFinal(row.Value)
 }
 
-// ask asks the box of a life.
+// ask sends a question to the box of an incarnation.
 func (e *Entry) ask(ctx context.Context, incarnation string, q *peerpb.Question) (*peerpb.Answer, error) {
 	node := member.NodeOf(incarnation)
-	d, err := e.box(ctx, node)
+	b, err := e.box(ctx, node)
 	if err != nil {
 		return nil, ErrUnsure
 	}
-	a, err := e.askDaemon(ctx, d, q)
+	a, err := e.askBox(ctx, b, q)
 	if err == nil && a.GetIncarnation() != incarnation {
 		return nil, ErrUnsure
 	}
 	return a, err
 }
 
-// box returns a box of the membership. One that has come a moment ago is looked
-// up: changes of the membership are gathered before they are taken in.
+// box returns a box of the membership. A box that is not known is read from the store,
+// since changes of the membership arrive with a delay.
 func (e *Entry) box(ctx context.Context, node string) (member.Box, error) {
 	e.mu.Lock()
-	d, ok := e.boxes[node]
+	b, ok := e.boxes[node]
 	e.mu.Unlock()
 	if ok {
-		return d, nil
+		return b, nil
 	}
 	return member.ReadEntry(ctx, e.store, node)
 }
 
-func (e *Entry) askDaemon(ctx context.Context, d member.Box, q *peerpb.Question) (*peerpb.Answer, error) {
-	client, err := e.askClient(d.Address)
+func (e *Entry) askBox(ctx context.Context, b member.Box, q *peerpb.Question) (*peerpb.Answer, error) {
+	client, err := e.askClient(b.Address)
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, answerTime(q))
+	ctx, cancel := context.WithTimeout(ctx, timeoutFor(q))
 	defer cancel()
 	a, err := client.Ask(ctx, q)
 	if err != nil {
-		e.dropAsk(d.Address)
+		e.closeAskClient(b.Address)
 	}
 	return a, err
 }
 
-// answerTime is how long another entry box may take for a question: one for a state
-// waits there for an end that is about to be.
-func answerTime(q *peerpb.Question) time.Duration {
+// timeoutFor returns the timeout of a question to another entry box: a state query may
+// wait there for the end of the job.
+func timeoutFor(q *peerpb.Question) time.Duration {
 	if q.GetKind() == peerpb.Question_STATE {
-		return finalPatience + askTimeout
+		return finalWait + askTimeout
 	}
 	return askTimeout
 }
 
-// askClient is a connection to another entry box.
+// askClient is a client of another entry box.
 type askClient struct {
 	conn *grpc.ClientConn
 	peerpb.PeerClient
@@ -175,7 +177,7 @@
 func (e *Entry) askClient(address string) (*askClient, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if c := e.asks[address]; c != nil {
+	if c := e.askClients[address]; c != nil {
 		return c, nil
 	}
 	conn, err := rpc.Dial(address, e.options.Metrics)
@@ -183,22 +185,22 @@
 		return nil, err
 	}
 	c := &askClient{conn: conn, PeerClient: peerpb.NewPeerClient(conn)}
-	e.asks[address] = c
+	e.askClients[address] = c
 	return c, nil
 }
 
-// dropAsk closes a connection that has failed, so that the next question does
-// not wait for it.
-func (e *Entry) dropAsk(address string) {
+// closeAskClient closes a connection that has failed, so that the next question dials
+// anew.
+func (e *Entry) closeAskClient(address string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if c := e.asks[address]; c != nil {
+	if c := e.askClients[address]; c != nil {
 		_ = c.conn.Close()
-		delete(e.asks, address)
+		delete(e.askClients, address)
 	}
 }
 
-// seeds are boxes that are asked while none is known.
+// seeds are the configured boxes, used while no others are known.
 type seeds struct {
 	addresses []string
 	metrics   *observe.Metrics
--- a/node/bounds_test.go
+++ b/node/bounds_test.go
@@ -11,28 +11,26 @@
 	"rackspur/observe"
 )
 
-// A bound of the settings says what the platform allows at most, or what callers and
-// operators may rely on. How long this system leases, waits and watches is its own choice,
-// cut down to such a bound. The tests of this file, and those that draw their bounds, go
-// through deployments whose bounds are far apart.
+// The platform's settings give upper bounds of times, which limit the system's own leases
+// and timeouts but must not replace them. The tests of this file use deployments with
+// widely different bounds.
 
-// virtualBounds are the bounds that the settings of a virtual site tell.
+// virtualBounds are the time bounds in the settings of a virtual site.
 type virtualBounds struct {
 	// maxHold is the longest lease that a target grants.
 	maxHold time.Duration
-	// resubmit is how long callers wait before they hand in a job again whose answer they
-	// have lost.
+	// resubmit is how long after a lost answer callers resubmit a job.
 	resubmit time.Duration
-	// evacuate is the time in which nothing more may start in an evacuated domain.
+	// evacuate is how long after an evacuation tasks may still start in the domain.
 	evacuate time.Duration
-	// keepFinished is how long the state of an ended job is told.
+	// keepFinished is how long the state of an ended job is retained.
 	keepFinished time.Duration
 }
 
-// usualBounds are those of most deployments.
-var usualBounds = virtualBounds{maxHold: time.Second, resubmit: 1300 * time.Millisecond, evacuate: 5 * time.Second, keepFinished: time.Minute}
+// defaultBounds are the bounds of most deployments.
+var defaultBounds = virtualBounds{maxHold: time.Second, resubmit: 1300 * time.Millisecond, evacuate: 5 * time.Second, keepFinished: time.Minute}
 
-// options returns what a box is made with under the bounds.
+// options returns the options of a box under the bounds.
 func (b virtualBounds) options(node string) Options {
 	return Options{
 		Node: node, Parts: 1, MaxHold: b.maxHold, Resubmit: b.resubmit, Evacuate: b.evacuate, KeepFinished: b.keepFinished,
@@ -40,9 +38,9 @@
 	}
 }
 
-// drawBounds draws the bounds of a deployment by a seed: times from what the shortest
-// bounds allow to ten times and more of the longest that any deployment has named.
-func drawBounds(seed uint64) virtualBounds {
+// randomBounds returns random bounds for a seed, from the shortest supported ones to more
+// than ten times the longest of any deployment.
+func randomBounds(seed uint64) virtualBounds {
 	random := rand.New(rand.NewPCG(seed, 0))
 	pick := func(of ...time.Duration) time.Duration { return of[random.IntN(len(of))] }
 	return virtualBounds{
@@ -53,28 +51,27 @@
 	}
 }
 
-// Where the platform grants leases of 15 s nothing was started for as long by a new process
-// of a gate, at a new life of a target, or in place of runs that were lost with their gate:
-// its limit was taken for the length of our own leases, and for what may still be out. "0
-// runs before the trouble, want 3", one second after all boxes had started.
+// The platform's limit on leases must not be taken for the length of our own: a restarted
+// gate, a restarted target and the replacement of lost runs would then wait as long as
+// that limit.
 func TestLongLeasesOfThePlatform(t *testing.T) {
 	for _, maxHold := range []time.Duration{300 * time.Millisecond, time.Second, 15 * time.Second, 5 * time.Minute} {
-		bounds := usualBounds
+		bounds := defaultBounds
 		bounds.maxHold = maxHold
 		t.Run(maxHold.String(), func(t *testing.T) {
 			t.Run("work starts", func(t *testing.T) {
-				inBubbleWith(t, bounds, func(s *virtualSite) { s.handIn() })
+				inBubbleWith(t, bounds, func(s *virtualSite) { s.submitBestEffort() })
 			})
 			t.Run("gate opens after a restart", func(t *testing.T) {
 				inBubbleWith(t, bounds, func(s *virtualSite) {
-					s.handIn()
+					s.submitBestEffort()
 					s.play(time.Second, event{0, s.agents[0].kill}, event{500 * time.Millisecond, s.agents[0].start})
 					s.checkOpens(500 * time.Millisecond)
 				})
 			})
 			t.Run("gate opens for a new life", func(t *testing.T) {
 				inBubbleWith(t, bounds, func(s *virtualSite) {
-					s.handIn()
+					s.submitBestEffort()
 					x := s.agents[0].target
 					again := func() { x.begin(x.newest().Again()) }
 					s.play(time.Second, event{0, func() { x.crash(false) }}, event{500 * time.Millisecond, again})
@@ -83,7 +80,7 @@
 			})
 			t.Run("lost runs are replaced", func(t *testing.T) {
 				inBubbleWith(t, bounds, func(s *virtualSite) {
-					s.handIn()
+					s.submitBestEffort()
 					lost := s.agents[1]
 					s.play(lostRunTime, event{0, lost.kill}, event{0, func() { lost.target.crash(true) }})
 					s.checkReplaced(lost)
@@ -94,16 +91,16 @@
 }
 
 const (
-	// openTime is how long after its process, or its target, was lost a gate may take to
-	// give the target work.
+	// openTime is how long after the loss of its process or its target a gate may take to
+	// open again.
 	openTime = 2 * time.Second
-	// lostRunTime is how long an owner may take to start a run again that was lost with its
-	// target and its gate: the contact time, a lease, and a margin for the slowest clock.
+	// lostRunTime is how long an owner may take to replace a run that was lost with its
+	// target and its gate: the contact timeout, a lease, and a margin for the slowest clock.
 	lostRunTime = 3 * time.Second
 )
 
-// checkOpens checks that all gates are open openTime after the trouble's beginning, of
-// which some has passed already.
+// checkOpens checks that all gates are open openTime after the first fault, of which
+// passed has elapsed already.
 func (s *virtualSite) checkOpens(passed time.Duration) {
 	s.t.Helper()
 	wait.For(s.ctx, openTime-passed)
@@ -111,7 +108,7 @@
 		const asker = "asker~1"
 		d := a.running().driver
 		if !d.Connect(asker, 1, func() {}) {
-			s.t.Errorf("%s takes no link", a.name)
+			s.t.Errorf("%s accepts no link", a.name)
 			continue
 		}
 		if f, _ := d.Flush(asker, 1); !f.Report.Open {
@@ -120,7 +117,7 @@
 	}
 }
 
-// checkReplaced checks that each run that was lost has another at work by now.
+// checkReplaced checks that each run of the lost agent's target was replaced elsewhere.
 func (s *virtualSite) checkReplaced(lost *agentBox) {
 	s.t.Helper()
 	all := s.spans()
@@ -133,7 +130,7 @@
 			replaced = replaced || y.target != lost.name && y.Name.TaskName == x.Name.TaskName
 		}
 		if !replaced {
-			s.t.Errorf("%s, and has no other run %v after its target was lost", s.tell(x), lostRunTime)
+			s.t.Errorf("%s, and was not replaced %v after its target was lost", s.describe(x), lostRunTime)
 		}
 	}
 }
--- a/node/chain_test.go
+++ b/node/chain_test.go
@@ -12,23 +12,16 @@
 	"rackspur/rowstore"
 )
 
-// lifeStands says whether a life has a row in the store.
-func (c *cluster) lifeStands(incarnation string) bool {
+// rowExists reports whether the row of an incarnation is in the store.
+func (c *cluster) rowExists(incarnation string) bool {
 	key := member.LifeKey(incarnation, c.options("").Parts)
 	_, ok, err := rowstore.ReadOne(context.Background(), c.store, key)
 	return err == nil && ok
 }
 
-// Symptom: a run of a kept job can go on beside a new one.
-//
-// Sequence: an owner that takes jobs over is lost itself, while a gate has not told it of
-// the runs of the life that is over.
-//
-// Cause: the row of that life was dropped once its jobs were read, so whoever took over next
-// did not ask for its runs.
-//
-// Settled by: dropped within 10 us of the read. It has to stand until every gate has
-// told or the runs are over.
+// The row of an ended incarnation must stay until every gate has reported its runs, or they
+// have ended. Otherwise, if the owner that takes over its jobs is lost too, the next one
+// does not ask for these runs and starts others in parallel.
 func TestLifeStandsUntilGatesHaveTold(t *testing.T) {
 	c := newCluster(t, 2, 1, func(job.RunName) (time.Duration, gate.EndKind) { return 5 * time.Second, gate.EndDone })
 	submit(c.entry(0), testJob(1, 1, false))
@@ -42,8 +35,8 @@
 	c.until("the other takes over", taker.Adopting)
 	began := time.Now()
 	for taker.Adopting() {
-		if !c.lifeStands(first) && taker.Adopting() {
-			t.Fatalf("the row of the life was dropped %v after its jobs were read, while a gate has not told of its runs", time.Since(began))
+		if !c.rowExists(first) && taker.Adopting() {
+			t.Fatalf("the row was deleted %v after the jobs were read, before a gate has reported its runs", time.Since(began))
 		}
 		wait.For(context.Background(), 5*time.Millisecond)
 	}
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -22,12 +22,12 @@
 
 const testService = "engine"
 
-// cluster is a few boxes around stand-ins, in one process.
+// cluster runs several boxes with stand-in targets in one process.
 type cluster struct {
-	t         *testing.T
-	store     *rowstore.Memory
-	executors []*standin.Executor
-	// wide says whether an entry's link is wide enough for a hub; nil for none.
+	t       *testing.T
+	store   *rowstore.Memory
+	targets []*standin.Executor
+	// wide says whether an entry box may be a hub; nil for none.
 	wide func(entry int) bool
 
 	mu      sync.Mutex
@@ -35,37 +35,37 @@
 	agents  []*box[*Agent]
 }
 
-// box is a running box.
-type box[D any] struct {
-	box  D
+// box is a running entry box or agent.
+type box[B any] struct {
+	box  B
 	kill context.CancelFunc
 	done chan struct{}
 }
 
-// newCluster starts boxes whose entries have a life in the store.
+// newCluster starts boxes and waits until each entry box has acquired its lease.
 func newCluster(t *testing.T, entries, agents int, work func(job.RunName) (time.Duration, gate.EndKind)) *cluster {
 	c := newIdleCluster(t, entries, agents, work)
 	for i := range entries {
-		c.entry(i).current.Load().needLife()
+		c.entry(i).current.Load().requestLease()
 	}
 	for i := range entries {
-		c.until("an entry's lease holds", func() bool { return c.entry(i).current.Load().owner.Active() })
+		c.until("the entry box has its lease", func() bool { return c.entry(i).current.Load().owner.Active() })
 	}
 	return c
 }
 
-// newIdleCluster starts boxes that have kept no job yet.
+// newIdleCluster starts boxes that have had no durable job yet.
 func newIdleCluster(t *testing.T, entries, agents int, work func(job.RunName) (time.Duration, gate.EndKind)) *cluster {
 	c := &cluster{t: t, store: rowstore.NewMemory()}
 	c.start(entries, agents, work)
 	return c
 }
 
-// start starts so many boxes.
+// start starts the given numbers of boxes and waits until the entry boxes are ready.
 func (c *cluster) start(entries, agents int, work func(job.RunName) (time.Duration, gate.EndKind)) {
 	for i := range agents {
-		e := standin.NewExecutor(fmt.Sprintf("i-%d", i), job.Resources{CPU: 16000, Memory: 32768}, work)
-		c.executors = append(c.executors, e)
+		target := standin.NewExecutor(fmt.Sprintf("i-%d", i), job.Resources{CPU: 16000, Memory: 32768}, work)
+		c.targets = append(c.targets, target)
 		c.agents = append(c.agents, c.startAgent(i))
 	}
 	for i := range entries {
@@ -73,20 +73,20 @@
 	}
 	c.t.Cleanup(c.stop)
 	for i := range entries {
-		c.until("an entry is ready", func() bool { return c.entry(i).Ready() })
+		c.until("the entry box is ready", func() bool { return c.entry(i).Ready() })
 	}
 }
 
 func (c *cluster) stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, d := range c.entries {
-		d.kill()
-		<-d.done
+	for _, b := range c.entries {
+		b.kill()
+		<-b.done
 	}
-	for _, d := range c.agents {
-		d.kill()
-		<-d.done
+	for _, b := range c.agents {
+		b.kill()
+		<-b.done
 	}
 }
 
@@ -101,7 +101,7 @@
 	return job.Queue{Name: "checks", Service: testService, Attempts: 3, Stretch: 1.6, TargetLatencyMS: 60}
 }
 
-// followTest gives one version of a configuration.
+// followTest is a FollowOperator that provides a fixed configuration.
 func followTest(_ context.Context, _ rowstore.Store, to Operator, _ logr.Logger) {
 	to.Routes.Take(&route.Table{Version: 1, Routes: []route.Route{{Host: "h", Prefix: "/a/", Queue: testQueue()}}})
 }
@@ -118,31 +118,31 @@
 
 func (c *cluster) startAgent(i int) *box[*Agent] {
 	ctx, cancel := context.WithCancel(context.Background())
-	a, err := NewAgent(ctx, c.options(fmt.Sprintf("agent-%d", i)), c.executors[i])
+	a, err := NewAgent(ctx, c.options(fmt.Sprintf("agent-%d", i)), c.targets[i])
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	d := run(a, a.Run)
-	kill := d.kill
-	d.kill = func() {
+	b := run(a, a.Run)
+	kill := b.kill
+	b.kill = func() {
 		cancel()
 		kill()
 	}
-	go c.beat(ctx, a, c.executors[i])
-	return d
+	go c.sendHeartbeats(ctx, a, c.targets[i])
+	return b
 }
 
-// beat sends an executor's heartbeats to its agent.
-func (c *cluster) beat(ctx context.Context, a *Agent, e *standin.Executor) {
+// sendHeartbeats sends a target's heartbeats to its agent.
+func (c *cluster) sendHeartbeats(ctx context.Context, a *Agent, target *standin.Executor) {
 	for sequence := int64(1); ctx.Err() == nil; sequence++ {
-		a.Driver().Heartbeat(gate.Heartbeat{Life: gate.Life{ID: e.Life, Born: e.Born}, Service: testService, Capacity: e.Capacity, Sequence: sequence})
+		a.Driver().Heartbeat(gate.Heartbeat{Life: gate.Life{ID: target.Life, Born: target.Born}, Service: testService, Capacity: target.Capacity, Sequence: sequence})
 		wait.For(ctx, 300*time.Millisecond)
 	}
 }
 
-func run[D any](d D, serve func(context.Context) error) *box[D] {
+func run[B any](b B, serve func(context.Context) error) *box[B] {
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &box[D]{box: d, kill: cancel, done: make(chan struct{})}
+	r := &box[B]{box: b, kill: cancel, done: make(chan struct{})}
 	go func() {
 		defer close(r.done)
 		_ = serve(ctx)
@@ -156,7 +156,7 @@
 	return c.entries[i].box
 }
 
-// killEntry ends an entry box without a word and starts it anew.
+// restartEntry kills an entry box and starts it again.
 func (c *cluster) restartEntry(i int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,7 +165,7 @@
 	c.entries[i] = c.startEntry(i)
 }
 
-// restartAgent ends an agent without a word and starts it anew.
+// restartAgent kills an agent and starts it again.
 func (c *cluster) restartAgent(i int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -174,13 +174,13 @@
 	c.agents[i] = c.startAgent(i)
 }
 
-// until waits for a condition.
+// until waits until a condition holds; it fails the test after 30 s.
 func (c *cluster) until(what string, ok func() bool) {
 	c.t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
 	for !ok() {
 		if time.Now().After(deadline) {
-			c.t.Fatalf("waited in vain: %s", what)
+			c.t.Fatalf("timed out waiting until %s", what)
 		}
 		wait.For(context.Background(), 5*time.Millisecond)
 	}
@@ -209,11 +209,11 @@
 	return s
 }
 
-// spans returns all runs of all executors by task.
+// spans returns the runs at all targets by task, in the order of their starts.
 func (c *cluster) spans() map[job.TaskName][]standin.Span {
 	all := map[job.TaskName][]standin.Span{}
-	for _, e := range c.executors {
-		for _, s := range e.Journal() {
+	for _, target := range c.targets {
+		for _, s := range target.Journal() {
 			all[s.Name.TaskName] = append(all[s.Name.TaskName], s)
 		}
 	}
@@ -223,17 +223,17 @@
 	return all
 }
 
-// checkRuns checks what executors have seen: no two runs of a task at one time,
-// no start after an end that was taken note of.
-func (c *cluster) checkRuns(kept func(job.ID) bool) {
+// checkRuns checks the runs that targets have seen: no two runs of a task at the same
+// time, and no start of a durable job's task after a noted end.
+func (c *cluster) checkRuns(durable func(job.ID) bool) {
 	c.t.Helper()
 	for task, spans := range c.spans() {
 		for i := 1; i < len(spans); i++ {
 			before, now := spans[i-1], spans[i]
 			if before.End == 0 || now.Started.Before(before.Ended) {
-				c.t.Errorf("two runs of %v at one time: %+v and %+v", task, before, now)
+				c.t.Errorf("two runs of %v at the same time: %+v and %+v", task, before, now)
 			}
-			if kept(task.Job) && before.End == gate.EndDone && before.Noted {
+			if durable(task.Job) && before.End == gate.EndDone && before.Noted {
 				c.t.Errorf("%v started after a noted end: %+v and %+v", task, before, now)
 			}
 		}
@@ -242,7 +242,7 @@
 
 func quickWork(job.RunName) (time.Duration, gate.EndKind) { return 30 * time.Millisecond, gate.EndDone }
 
-func allKept(job.ID) bool { return true }
+func allDurable(job.ID) bool { return true }
 
 func TestKeptJob(t *testing.T) {
 	c := newCluster(t, 2, 2, quickWork)
@@ -253,7 +253,7 @@
 	if r := submit(c.entry(1), s); r != owner.SubmitAccepted {
 		t.Errorf("the same job at another box: result %v", r)
 	}
-	c.until("completed at both", func() bool {
+	c.until("the job is completed at both", func() bool {
 		return c.state(0, s.ID) == job.StateCompleted && c.state(1, s.ID) == job.StateCompleted
 	})
 	if r := submit(c.entry(1), s); r != owner.SubmitAccepted {
@@ -262,7 +262,7 @@
 	if got := len(c.spans()); got != 8 {
 		t.Errorf("%d tasks ran, want 8", got)
 	}
-	c.checkRuns(allKept)
+	c.checkRuns(allDurable)
 	if _, err := c.entry(1).JobState(context.Background(), "00000000000000ff"); err != ErrUnknownJob {
 		t.Errorf("unknown job: %v", err)
 	}
@@ -291,8 +291,8 @@
 	}
 }
 
-// The jobs of a box that dies go on under another, and none of their tasks
-// that ended runs again.
+// Jobs of a lost box are completed by another one, and none of their ended tasks runs
+// again.
 func TestTakeOver(t *testing.T) {
 	c := newCluster(t, 2, 2, func(n job.RunName) (time.Duration, gate.EndKind) {
 		return time.Duration(50+200*(n.Index%2)) * time.Millisecond, gate.EndDone
@@ -300,11 +300,11 @@
 	for i := range 5 {
 		submit(c.entry(0), testJob(i, 4, false))
 	}
-	c.until("they run", func() bool { return len(c.spans()) > 10 })
+	c.until("the jobs run", func() bool { return len(c.spans()) > 10 })
 	c.mu.Lock()
 	c.entries[0].kill()
 	c.mu.Unlock()
-	c.until("all completed at the other", func() bool {
+	c.until("all jobs are completed at the other box", func() bool {
 		for i := range 5 {
 			if c.state(1, testJob(i, 4, false).ID) != job.StateCompleted {
 				return false
@@ -312,28 +312,28 @@
 		}
 		return true
 	})
-	c.checkRuns(allKept)
+	c.checkRuns(allDurable)
 }
 
-// Best-effort jobs go on while the store serves nobody; kept ones are refused.
+// While the store is unavailable, best-effort jobs run and durable ones are refused.
 func TestStoreOutage(t *testing.T) {
 	c := newCluster(t, 1, 1, quickWork)
 	c.store.SetFault(func(rowstore.Call) rowstore.Fault { return rowstore.FaultRefuse })
-	c.until("the lease is over", func() bool { return !c.entry(0).current.Load().owner.Active() })
+	c.until("the lease has expired", func() bool { return !c.entry(0).current.Load().owner.Active() })
 	if r := c.entry(0).RunBestEffort(context.Background(), testJob(1, 4, true)); r.State != job.StateCompleted {
 		t.Errorf("best effort: %+v", r)
 	}
 	if r := submit(c.entry(0), testJob(2, 1, false)); r != owner.SubmitRefused {
-		t.Errorf("kept: %v, want refused", r)
+		t.Errorf("durable: %v, want refused", r)
 	}
 	c.store.SetFault(nil)
-	c.until("kept jobs are taken again", func() bool { return submit(c.entry(0), testJob(3, 1, false)) == owner.SubmitAccepted })
+	c.until("durable jobs are accepted again", func() bool { return submit(c.entry(0), testJob(3, 1, false)) == owner.SubmitAccepted })
 	if runs := c.spans()[job.TaskName{Job: testJob(2, 1, false).ID}]; len(runs) != 0 {
 		t.Error("a refused job ran")
 	}
 }
 
-// A restarted agent finds what runs and what has ended.
+// A restarted agent finds the active and the ended runs of its target.
 func TestAgentRestart(t *testing.T) {
 	c := newCluster(t, 1, 1, func(job.RunName) (time.Duration, gate.EndKind) { return 400 * time.Millisecond, gate.EndDone })
 	s := testJob(1, 6, false)
--- /dev/null
+++ b/node/descriptions.go
@@ -0,0 +1,101 @@
+package node
+
+import (
+	"context"
+	"encoding/json"
+	"time"
+
+	"github.com/go-logr/logr"
+
+	"rackspur/gate"
+	"rackspur/internal/wait"
+	"rackspur/member"
+	"rackspur/observe"
+	"rackspur/rowstore"
+)
+
+// tableTargets has a row for each agent with the description of its target, so that a
+// restarted agent can open its gate without waiting for the target's next heartbeat.
+const tableTargets = "executors"
+
+// Timeout of reading or writing a description, and the pause before a write is retried.
+const (
+	descriptionTimeout = 700 * time.Millisecond
+	descriptionPause   = 200 * time.Millisecond
+)
+
+// descriptions stores the description of an agent's target.
+type descriptions struct {
+	store  rowstore.Store
+	node   string
+	driver *gate.Driver
+	// unreadable records a description that can't be decoded.
+	unreadable *observe.Unreadable
+	log        logr.Logger
+}
+
+func (s *descriptions) key() rowstore.Key {
+	return rowstore.Key{Table: tableTargets, Part: member.AgentPart(s.node), Name: s.node}
+}
+
+// run restores the stored description and stores each new one until the context ends.
+func (s *descriptions) run(ctx context.Context) {
+	go s.restore(ctx)
+	for {
+		select {
+		case d := <-s.driver.Described():
+			s.keep(ctx, d)
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// restore reads the stored description, if any, and passes it to the gate. A failure is
+// not retried, since the target's next heartbeat describes it too.
+func (s *descriptions) restore(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, descriptionTimeout)
+	defer cancel()
+	row, ok, err := rowstore.ReadOne(ctx, s.store, s.key())
+	if err != nil {
+		s.log.Info("Target description not read.", "error", err.Error())
+		return
+	}
+	if !ok {
+		return
+	}
+	var d gate.Description
+	if err := json.Unmarshal(row.Value, &d); err != nil {
+		s.unreadable.Note(tableTargets, row.Name, err.Error())
+		return
+	}
+	s.driver.Recall(d)
+}
+
+// keep writes a description, with retries until it is stored, a newer one is available,
+// or the context ends.
+func (s *descriptions) keep(ctx context.Context, d gate.Description) {
+	value, err := json.Marshal(d)
+	if err != nil {
+		s.log.Error(err, "Target description not encoded.")
+		return
+	}
+	for ctx.Err() == nil {
+		err := s.write(ctx, value)
+		if err == nil {
+			return
+		}
+		s.log.V(1).Info("Target description not stored; retrying.", "error", err.Error())
+		wait.For(ctx, descriptionPause)
+		if len(s.driver.Described()) > 0 {
+			return
+		}
+	}
+}
+
+func (s *descriptions) write(ctx context.Context, value []byte) error {
+	ctx, cancel := context.WithTimeout(ctx, descriptionTimeout)
+	defer cancel()
+	_, err := s.store.Transact(ctx, rowstore.Transaction{Puts: []rowstore.Put{{Key: s.key(), Value: value}}})
+	return err
+}
--- /dev/null
+++ b/node/descriptions_test.go
@@ -0,0 +1,101 @@
+package node
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"rackspur/gate"
+	"rackspur/internal/standin"
+	"rackspur/job"
+	"rackspur/member"
+	"rackspur/rowstore"
+)
+
+// restoreRig runs an agent and a target whose heartbeats the test sends.
+type restoreRig struct {
+	*cluster
+	target *standin.Executor
+}
+
+func newRestoreRig(t *testing.T) *restoreRig {
+	return &restoreRig{cluster: &cluster{t: t, store: rowstore.NewMemory()}, target: testTarget("i-1", 16000)}
+}
+
+func testTarget(life string, cpu int) *standin.Executor {
+	return standin.NewExecutor(life, job.Resources{CPU: cpu, Memory: 32768}, func(job.RunName) (time.Duration, gate.EndKind) {
+		return time.Millisecond, gate.EndDone
+	})
+}
+
+// start starts the agent; the returned function stops it, at the latest when the test ends.
+func (r *restoreRig) start() (*Agent, func()) {
+	ctx, cancel := context.WithCancel(context.Background())
+	a, err := NewAgent(ctx, r.options("agent-1"), r.target)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	b := run(a, a.Run)
+	end := func() {
+		cancel()
+		b.kill()
+		<-b.done
+	}
+	r.t.Cleanup(end)
+	return a, end
+}
+
+func (r *restoreRig) sendHeartbeat(a *Agent) {
+	a.Driver().Heartbeat(gate.Heartbeat{Life: gate.Life{ID: r.target.Life, Born: r.target.Born}, Service: testService, Capacity: r.target.Capacity, Labels: []string{"r1"}, Sequence: 1})
+}
+
+// open reports whether the agent's gate is open, and the capacity that it reports.
+func open(a *Agent, link uint64) (bool, job.Resources) {
+	if !a.Driver().Connect("entry-1~a", link, func() {}) {
+		return false, job.Resources{}
+	}
+	f, _ := a.Driver().Flush("entry-1~a", link)
+	return f.Report.Open, f.Report.Capacity
+}
+
+func (r *restoreRig) untilOpen(a *Agent) {
+	link := uint64(0)
+	r.until("the gate is open", func() bool {
+		link++
+		ok, capacity := open(a, link)
+		return ok && capacity == r.target.Capacity
+	})
+}
+
+func (r *restoreRig) untilStored() {
+	r.until("the description is stored", func() bool {
+		_, ok, err := rowstore.ReadOne(context.Background(), r.store, rowstore.Key{Table: tableTargets, Part: member.AgentPart("agent-1"), Name: "agent-1"})
+		return ok && err == nil
+	})
+}
+
+// A restarted agent opens its gate without a heartbeat if its target has not restarted.
+func TestAgentRecallsExecutor(t *testing.T) {
+	r := newRestoreRig(t)
+	first, end := r.start()
+	r.sendHeartbeat(first)
+	r.untilOpen(first)
+	r.untilStored()
+	end()
+	second, _ := r.start()
+	r.untilOpen(second)
+}
+
+// A stored description of an earlier incarnation of the target is replaced by the next
+// heartbeat.
+func TestAgentForgetsOtherLife(t *testing.T) {
+	r := newRestoreRig(t)
+	first, end := r.start()
+	r.sendHeartbeat(first)
+	r.untilStored()
+	end()
+	r.target = testTarget("i-2", 8000)
+	second, _ := r.start()
+	r.sendHeartbeat(second)
+	r.untilOpen(second)
+}
--- a/node/entry.go
+++ b/node/entry.go
@@ -1,5 +1,5 @@
-// Package node puts the parts of a box together: an entry box owns jobs,
-// an agent is the gate beside an executor.
+// Package node assembles the two kinds of box: an entry box accepts and owns jobs,
+// an agent runs the gate of a target.
 package node
 
 import (
@@ -24,48 +24,48 @@
 	"rackspur/rpc"
 )
 
-// ErrServe says that a box's port can't be served.
+// ErrServe is returned when a box can't listen on its address.
 var ErrServe = eris.New("node: can't serve")
 
-// Options are what a box is made with.
+// Options configure a box.
 type Options struct {
 	Node string
 	Zone string
-	// Service is the one that the agent's target belongs to; "" if it is not known.
+	// Service is the service that the agent's target belongs to; empty if unknown.
 	Service string
-	// Listen is the address for other boxes.
+	// Listen is the address to listen on for other boxes.
 	Listen string
-	// Wide says that the box's link is wide enough to follow the store for others.
+	// Wide says that the box has enough network bandwidth to be a hub for others.
 	Wide bool
-	// Advertise is the address that other boxes are told; "" for the one that
-	// is listened on.
+	// Advertise is the address that other boxes connect to; if empty, the listen
+	// address.
 	Advertise string
-	// Seeds are addresses of a few other boxes, maybe stale.
+	// Seeds are the addresses of a few other boxes; some may be stale.
 	Seeds []string
-	// Parts is the number of parts of the store that jobs are spread over.
+	// Parts is the number of parts that the jobs in the store are divided into.
 	Parts int
-	// MaxHold is the longest lease that the platform allows.
+	// MaxHold is the longest target lease that the platform allows.
 	MaxHold      time.Duration
 	KeepFinished time.Duration
-	// Resubmit is how long after a lost answer callers hand in a job that is not kept
-	// again, maybe elsewhere; 0 for the usual time.
+	// Resubmit is how long after a lost answer callers resubmit a best-effort job, possibly
+	// to another entry box; 0 for the default.
 	Resubmit time.Duration
-	// Evacuate is the time in which nothing more may start in a failure domain after its
-	// evacuation was acknowledged; 0 for the usual time.
+	// Evacuate is how long after the acknowledgement of an evacuation tasks may still
+	// start in the failure domain; 0 for the default.
 	Evacuate time.Duration
-	// ReadEvacuations reads evacuations from a store; an agent without it goes by its
-	// owners' news alone.
+	// ReadEvacuations reads the evacuations from the store. It may be nil; the agent then
+	// learns of them from owners only.
 	ReadEvacuations ReadEvacuations
 	Store           rowstore.Store
 	Metrics         *observe.Metrics
 	Log             logr.Logger
-	// Unreadable is told of entries of the store that can't be read; it may be nil.
+	// Unreadable records rows of the store that can't be decoded; it may be nil.
 	Unreadable *observe.Unreadable
-	// Policy makes the decisions that operators have programmed; it may be nil.
+	// Policy makes the decisions that operators have programmed; nil for the built-in ones.
 	Policy owner.Policy
 }
 
-// listening takes in what is listened on.
+// listening sets the addresses from the listener.
 func (o *Options) listening(l net.Listener) {
 	o.Listen = l.Addr().String()
 	if o.Advertise == "" {
@@ -75,41 +75,41 @@
 
 // Times of an entry box.
 const (
-	// tickPause is the time between two looks at the owner's times while tasks or
-	// answers wait, calmPause while none do: each look wakes the process.
+	// tickPause is the pause between two ticks of the owner while tasks or answers wait;
+	// calmPause is used while none do, since each tick wakes the process.
 	tickPause = 10 * time.Millisecond
 	calmPause = 30 * time.Millisecond
 	pollPause = 400 * time.Millisecond
-	// commitDelay is how long the first of several writes waits for others.
+	// commitDelay is how long a write waits to be committed together with others.
 	commitDelay = time.Millisecond
 	askTimeout  = 400 * time.Millisecond
 	readTimeout = time.Second
-	// defaultPatience is how long a caller waits that names no deadline.
-	defaultPatience = 30 * time.Second
+	// defaultCallTimeout applies to callers that set no deadline.
+	defaultCallTimeout = 30 * time.Second
 )
 
-// Operator is where what the operator has written is taken in.
+// Operator receives the configuration and the evacuations that operators write.
 type Operator struct {
 	Routes *route.Holder
-	// Evacuated takes in which failure domains, sorted, were evacuated as of a version of
-	// the store that was the newest at a time or later.
+	// Evacuated receives the evacuated failure domains, sorted, as of a version of the store
+	// that was current at the given time or later.
 	Evacuated func(domains []string, version uint64, at time.Time)
 }
 
-// FollowOperator keeps up with what the operator writes until the context ends.
+// FollowOperator passes changes written by operators to an Operator until the context ends.
 type FollowOperator func(ctx context.Context, s rowstore.Store, to Operator, log logr.Logger)
 
-// Entry is an entry box.
+// Entry is a box that accepts submissions and owns their jobs.
 type Entry struct {
 	options Options
 	follow  FollowOperator
 	routes  route.Holder
-	// evacuations has its times since the start.
+	// evacuations holds times relative to started.
 	evacuations evacuation.Holder
 	log         logr.Logger
 	started     time.Time
-	// direct is the platform's store, whose changes are asked for once for this box and those
-	// whose hub it is; store reaches it directly or through peers.
+	// direct accesses the platform's store and shares one change feed between this box and
+	// those whose hub it is; store accesses it directly or through peers.
 	direct   *peer.SharedStore
 	store    *peer.RelayedStore
 	listener net.Listener
@@ -117,17 +117,17 @@
 	current  atomic.Pointer[term]
 	stopping atomic.Bool
 
-	// pending is how many jobs wait elsewhere.
+	// pending caches the number of jobs waiting at other entry boxes.
 	pending pendingElsewhere
-	// hubs chooses the entry box that follows the store for this one.
+	// hubs selects the entry box through which this one follows the store.
 	hubs *hubs
 
-	mu    sync.Mutex
-	boxes map[string]member.Box
-	asks  map[string]*askClient
+	mu         sync.Mutex
+	boxes      map[string]member.Box
+	askClients map[string]*askClient
 }
 
-// NewEntry returns an entry box that listens for other boxes.
+// NewEntry returns an entry box and starts listening for other boxes.
 func NewEntry(o Options, follow FollowOperator) (*Entry, error) {
 	listener, err := net.Listen("tcp", o.Listen)
 	if err != nil {
@@ -136,19 +136,19 @@
 	o.listening(listener)
 	e := &Entry{
 		options: o, follow: follow, log: o.Log, started: time.Now(), listener: listener,
-		boxes: map[string]member.Box{}, asks: map[string]*askClient{},
+		boxes: map[string]member.Box{}, askClients: map[string]*askClient{},
 		seeds: newSeeds(o.Seeds, o.Advertise, o.Metrics),
 	}
 	e.hubs = newHubs(o.Node, e.known)
 	e.direct = peer.NewSharedStore(o.Store)
 	e.store = peer.NewRelayedStore(e.direct, e, o.Metrics, o.Log)
 	e.store.UseHubs(e)
-	e.evacuations.OnNews(e.tellEvacuations)
+	e.evacuations.OnNews(e.passEvacuations)
 	e.gauges()
 	return e, nil
 }
 
-// Some implements peer.Peers.Some with linked agents, or seeds before there are any.
+// Some implements peer.Peers.Some with linked agents, or with seeds if there are none.
 func (e *Entry) Some(n int) []peerpb.PeerClient {
 	if t := e.current.Load(); t != nil {
 		if some := t.links.Some(n); len(some) > 0 {
@@ -175,14 +175,14 @@
 	return nil
 }
 
-// Routes returns the configuration in force, or nil before the first.
+// Routes returns the current configuration, or nil before the first.
 func (e *Entry) Routes() *route.Table { return e.routes.Current() }
 
-// RoutesAge returns how long ago the configuration in force was known to be the
-// newest one; ok is false before that was known for the first time.
+// RoutesAge returns how long ago the current configuration was last known to be up to
+// date; ok is false before the first.
 func (e *Entry) RoutesAge() (age time.Duration, ok bool) { return e.routes.Age() }
 
-// Limits returns the limits of the configuration in force; none before the first.
+// Limits returns the limits of the current configuration, or none before the first.
 func (e *Entry) Limits() route.Limits {
 	if t := e.routes.Current(); t != nil {
 		return t.Limits
@@ -195,28 +195,28 @@
 	e.evacuations.Take(evacuation.News{Domains: domains, Version: version, AsOf: at.Sub(e.started)})
 }
 
-// tellEvacuations passes news on to the owner of the current life.
-func (e *Entry) tellEvacuations(n evacuation.News) {
+// passEvacuations passes evacuations on to the current owner.
+func (e *Entry) passEvacuations(n evacuation.News) {
 	if t := e.current.Load(); t != nil {
 		t.owner.TakeEvacuations(n)
 	}
 }
 
-// found takes in a box of the membership.
-func (e *Entry) found(d member.Box) {
+// found handles a new or changed box of the membership.
+func (e *Entry) found(b member.Box) {
 	e.mu.Lock()
-	before := e.boxes[d.Node]
-	e.boxes[d.Node] = d
+	before := e.boxes[b.Node]
+	e.boxes[b.Node] = b
 	e.mu.Unlock()
-	if d.Role == member.RoleEntry && d != before {
-		e.hubs.changed()
+	if b.Role == member.RoleEntry && b != before {
+		e.hubs.invalidate()
 	}
 	if t := e.current.Load(); t != nil {
-		t.found(d)
+		t.found(b)
 	}
 }
 
-// entries returns how many entry boxes are known.
+// entries returns the number of known entry boxes, or 1 before the first term.
 func (e *Entry) entries() int {
 	if t := e.current.Load(); t != nil {
 		return t.fleet.Entries()
@@ -224,12 +224,12 @@
 	return 1
 }
 
-// lost takes in that a box's row is gone: it was out of touch for good.
+// lost handles the removal of a box from the membership.
 func (e *Entry) lost(node string) {
 	e.mu.Lock()
 	delete(e.boxes, node)
 	e.mu.Unlock()
-	e.hubs.changed()
+	e.hubs.invalidate()
 	if t := e.current.Load(); t != nil {
 		t.fleet.Lost(node)
 		t.owner.SetEntries(t.fleet.Entries())
@@ -237,10 +237,10 @@
 }
 
 // Invited implements peer.Inviter.Invited.
-func (e *Entry) Invited(d member.Box) {
+func (e *Entry) Invited(b member.Box) {
 	if t := e.current.Load(); t != nil {
-		t.owner.AddGate(d.Node, d.Zone)
-		t.fleet.Invited(d)
+		t.owner.AddGate(b.Node, b.Zone)
+		t.fleet.Invited(b)
 	}
 }
 
@@ -249,13 +249,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	all := make([]member.Box, 0, len(e.boxes))
-	for _, d := range e.boxes {
-		all = append(all, d)
+	for _, b := range e.boxes {
+		all = append(all, b)
 	}
 	return all
 }
 
-// runTerm runs one life of the owner until it is fenced or the context ends.
+// runTerm runs one incarnation of the owner until it is fenced or the context ends.
 func (e *Entry) runTerm(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -263,21 +263,21 @@
 	t := e.newTerm(ctx, incarnation)
 	e.current.Store(t)
 	t.owner.TakeEvacuations(e.evacuations.News())
-	for _, d := range e.known() {
-		t.found(d)
+	for _, b := range e.known() {
+		t.found(b)
 	}
 	go member.KeepRegistered(ctx, e.store, t.box, e.log)
 	t.run(ctx)
 }
 
-// Ready says whether the box should get new connections.
+// Ready reports whether the box should receive new connections.
 func (e *Entry) Ready() bool {
 	t := e.current.Load()
 	return t != nil && !e.stopping.Load() && e.routes.Current() != nil && t.owner.Alive() && t.links.Linked() > 0
 }
 
-// Stop makes the box unready, waits until its jobs have ended or the context
-// ends, and releases its life so that others take over the rest.
+// Stop makes the box unready, waits until its jobs have ended or the context ends, and
+// releases its lease so that other boxes take over the remaining jobs.
 func (e *Entry) Stop(ctx context.Context) {
 	e.stopping.Store(true)
 	t := e.current.Load()
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -18,28 +18,28 @@
 	"rackspur/rowstore"
 )
 
-// This file lets an operator evacuate failure domains of the site in virtual time. Each
-// agent is in a domain of its own. After the time that the platform gives nothing may
-// start there, whatever has happened to owners, agents and their ways to the store.
+// The tests of this file evacuate failure domains of a site in virtual time. Each agent is
+// in a domain of its own. Whatever faults occur, nothing may start in an evacuated domain
+// after the platform's time limit.
 
 const (
-	// evacuateBound is the time from the acknowledgement of an evacuation to the last
-	// start there: evacuateMs of the users' settings.
-	evacuateBound = defaultEvacuate
-	// evacuateContact is how long after trouble has ended a box is bound by rules again:
+	// evacuateBound is the time limit from the acknowledgement of an evacuation to the last
+	// start in the domain: evacuateMs of the users' settings.
+	evacuateBound = defaultEvacuationBound
+	// evacuateContact is how long after the end of a fault the limit applies again:
 	// contactMs of the users' settings.
 	evacuateContact = 4 * time.Second
-	// shortTask is what tasks take here, so that there are starts at all times.
+	// shortTask is the run time of tasks, short enough that starts happen all the time.
 	shortTask = 60 * time.Millisecond
 	// loadPause is the time between two jobs.
 	loadPause = 20 * time.Millisecond
-	// feedPause is how often an entry box hears of the operator, readLatency how long an
-	// agent's own read takes.
+	// feedPause is the pause between two reads of an entry box; readLatency is how long an
+	// agent's read takes.
 	feedPause   = 100 * time.Millisecond
 	readLatency = 8 * time.Millisecond
 )
 
-// virtualOperator writes evacuations into a store that boxes may be cut off from.
+// virtualOperator writes evacuations into a store that boxes can be disconnected from.
 type virtualOperator struct {
 	site *virtualSite
 
@@ -51,12 +51,12 @@
 	spans map[string][]evacuationSpan
 }
 
-// evacuationSpan is the time from an evacuation's acknowledgement until it was taken back.
+// evacuationSpan is the time between the acknowledgements of an evacuation's start and end.
 type evacuationSpan struct{ from, until time.Time }
 
-// operate gives a site an operator: its entry boxes follow it, and its agents read its
-// rows where their owners do not tell them.
-func operate(s *virtualSite) *virtualOperator {
+// addOperator adds an operator to a site. Entry boxes follow its evacuations; agents read
+// them if their owners send no recent list.
+func addOperator(s *virtualSite) *virtualOperator {
 	o := &virtualOperator{site: s, version: 1, cut: map[string]bool{}, spans: map[string][]evacuationSpan{}}
 	for _, e := range s.entries {
 		go o.feed(e)
@@ -69,9 +69,9 @@
 	return o
 }
 
-// feed tells an entry box what the operator has written, again and again.
+// feed passes the evacuations to an entry box periodically.
 func (o *virtualOperator) feed(b *entryBox) {
-	started := o.site.begun
+	started := o.site.started
 	for b.awake.pass(b.ctx) {
 		if domains, version, err := o.read(b.name); err == nil {
 			b.owner.TakeEvacuations(evacuation.News{Domains: domains, Version: version, AsOf: time.Since(started)})
@@ -80,7 +80,7 @@
 	}
 }
 
-// watch has a process of an agent look after its news of evacuations.
+// watch runs the evacuation watch of an agent's process.
 func (o *virtualOperator) watch(a *agentBox, p *agentProcess) {
 	options := Options{Log: logr.Discard(), ReadEvacuations: func(ctx context.Context, _ rowstore.Store) ([]string, uint64, error) {
 		if !a.awake.pass(ctx) {
@@ -93,7 +93,7 @@
 	go newEvacuationWatch(options, nil, p.driver).run(p.ctx)
 }
 
-// read reads the rows for a box.
+// read reads the evacuations for a box.
 func (o *virtualOperator) read(name string) ([]string, uint64, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -103,7 +103,7 @@
 	return o.domains, o.version, nil
 }
 
-// cutOff cuts boxes off from the store, or lets them reach it again.
+// cutOff disconnects boxes from the store, or connects them again.
 func (o *virtualOperator) cutOff(cut bool, names ...string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -112,7 +112,7 @@
 	}
 }
 
-// evacuate has the evacuation of a domain acknowledged.
+// evacuate starts the evacuation of a domain.
 func (o *virtualOperator) evacuate(domain string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -125,8 +125,8 @@
 	o.spans[domain] = append(o.spans[domain], evacuationSpan{from: time.Now()})
 }
 
-// takeBack has the end of an evacuation acknowledged.
-func (o *virtualOperator) takeBack(domain string) {
+// endEvacuation ends the evacuation of a domain.
+func (o *virtualOperator) endEvacuation(domain string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.version++
@@ -134,7 +134,8 @@
 	o.spans[domain][len(o.spans[domain])-1].until = time.Now()
 }
 
-// load hands in jobs of two short tasks by turns at all entry boxes until a time.
+// load submits jobs of two short tasks to all entry boxes in turn until a time. served
+// returns the number of completed jobs.
 func (o *virtualOperator) load(until time.Time) (served func() int) {
 	var mu sync.Mutex
 	done := 0
@@ -166,7 +167,8 @@
 	}
 }
 
-// startsBetween counts the starts at an agent's target between two times.
+// startsBetween counts the starts at an agent's target between two times and returns the
+// last one.
 func (o *virtualOperator) startsBetween(a *agentBox, from, until time.Time) (n int, last time.Time) {
 	for _, s := range a.target.Journal() {
 		if s.Started.After(from) && s.Started.Before(until) {
@@ -177,8 +179,8 @@
 	return n, last
 }
 
-// check checks that nothing started in a domain later than the bound after its evacuation
-// was acknowledged, and after a time from which boxes are bound again.
+// check checks that nothing started in a domain after the time limit of its evacuation.
+// Starts before boundFrom are ignored.
 func (o *virtualOperator) check(t *testing.T, boundFrom time.Time) {
 	t.Helper()
 	for _, a := range o.site.agents {
@@ -192,20 +194,18 @@
 				until = time.Now()
 			}
 			if n, last := o.startsBetween(a, from, until); n > 0 {
-				t.Errorf("%d starts in %s beyond the bound, the last %v after the acknowledgement", n, a.domain(), last.Sub(span.from))
+				t.Errorf("%d starts in %s after the time limit, the last %v after the acknowledgement", n, a.domain(), last.Sub(span.from))
 			}
 		}
 	}
 }
 
-// Symptom: 18,373 starts in evacuated failure domains in one day. Cause: nothing in the
-// product knew of evacuations. Each case evacuates the domain of agent-0 at zero and takes
-// it back at 16 s, with trouble between; all run red with the gate's look at its news
-// taken out of Gate.Open.
+// Nothing may start in an evacuated failure domain after the time limit. Each case evacuates
+// the domain of agent-0 at 0 s, ends the evacuation at 16 s, and injects faults between.
 func TestEvacuation(t *testing.T) {
 	const (
-		takenBack = 16 * time.Second
-		end       = 20 * time.Second
+		evacuationEnd = 16 * time.Second
+		end           = 20 * time.Second
 	)
 	names := func(s *virtualSite) (entries, agents []string) {
 		for _, e := range s.entries {
@@ -218,12 +218,11 @@
 	}
 	tests := []struct {
 		name string
-		// trouble returns what happens beside the evacuation.
+		// trouble returns the other events.
 		trouble func(s *virtualSite, o *virtualOperator) []event
-		// calm is when the trouble has ended that frees boxes of the rule's bound; 0 if
-		// none does.
+		// calm is the end of a fault during which the limit does not apply; 0 if there is none.
 		calm time.Duration
-		// quick: the last start is soon after the acknowledgement.
+		// quick says that the last start must be soon after the acknowledgement.
 		quick bool
 	}{
 		{name: "calm", quick: true, trouble: func(*virtualSite, *virtualOperator) []event { return nil }},
@@ -232,7 +231,7 @@
 		}},
 		{name: "no owner can reach the store", trouble: func(s *virtualSite, o *virtualOperator) []event {
 			entries, _ := names(s)
-			return []event{{-2 * time.Second, func() { o.cutOff(true, entries...) }}, {takenBack - time.Second, func() { o.cutOff(false, entries...) }}}
+			return []event{{-2 * time.Second, func() { o.cutOff(true, entries...) }}, {evacuationEnd - time.Second, func() { o.cutOff(false, entries...) }}}
 		}},
 		{name: "no agent can reach the store", quick: true, trouble: func(s *virtualSite, o *virtualOperator) []event {
 			_, agents := names(s)
@@ -258,7 +257,7 @@
 			return []event{
 				{-2 * time.Second, func() { o.cutOff(true, entries...) }},
 				{7 * time.Second, s.agents[0].kill}, {7500 * time.Millisecond, s.agents[0].start},
-				{takenBack - time.Second, func() { o.cutOff(false, entries...) }},
+				{evacuationEnd - time.Second, func() { o.cutOff(false, entries...) }},
 			}
 		}, calm: 7500 * time.Millisecond},
 		{name: "the agent is frozen", trouble: func(s *virtualSite, _ *virtualOperator) []event {
@@ -268,7 +267,7 @@
 			entries, _ := names(s)
 			return []event{
 				{-2 * time.Second, func() { o.cutOff(true, entries...) }}, {-100 * time.Millisecond, s.agents[0].awake.shut},
-				{5500 * time.Millisecond, s.agents[0].awake.open}, {takenBack - time.Second, func() { o.cutOff(false, entries...) }},
+				{5500 * time.Millisecond, s.agents[0].awake.open}, {evacuationEnd - time.Second, func() { o.cutOff(false, entries...) }},
 			}
 		}, calm: 5500 * time.Millisecond},
 		{name: "the store is silent to all", trouble: func(s *virtualSite, o *virtualOperator) []event {
@@ -283,7 +282,7 @@
 			return []event{
 				{3 * time.Second, func() { o.evacuate(domain) }},
 				{8 * time.Second, func() {
-					o.takeBack(domain)
+					o.endEvacuation(domain)
 					o.evacuate(domain)
 				}},
 			}
@@ -291,8 +290,8 @@
 		{name: "another domain before and after", quick: true, trouble: func(s *virtualSite, o *virtualOperator) []event {
 			other, last := s.agents[1].domain(), s.agents[2].domain()
 			return []event{
-				{-3 * time.Second, func() { o.evacuate(other) }}, {5 * time.Second, func() { o.takeBack(other) }},
-				{5500 * time.Millisecond, func() { o.evacuate(last) }}, {12 * time.Second, func() { o.takeBack(last) }},
+				{-3 * time.Second, func() { o.evacuate(other) }}, {5 * time.Second, func() { o.endEvacuation(other) }},
+				{5500 * time.Millisecond, func() { o.evacuate(last) }}, {12 * time.Second, func() { o.endEvacuation(last) }},
 			}
 		}},
 		{name: "another domain is lost", quick: true, trouble: func(s *virtualSite, _ *virtualOperator) []event {
@@ -302,43 +301,43 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			inBubble(t, func(s *virtualSite) {
-				o := operate(s)
+				o := addOperator(s)
 				served := o.load(time.Now().Add(4*time.Second + end))
 				domain := s.agents[0].domain()
 				events := append(test.trouble(s, o),
 					event{-3500 * time.Millisecond, func() {}},
 					event{0, func() { o.evacuate(domain) }},
-					event{takenBack, func() { o.takeBack(domain) }})
+					event{evacuationEnd, func() { o.endEvacuation(domain) }})
 				before := 0
 				events = append(events, event{time.Second, func() { before = served() }})
 				s.play(end, events...)
-				o.check(t, s.trouble.Add(test.calm+minContact(test.calm)))
-				if _, last := o.startsBetween(s.agents[0], s.trouble, s.trouble.Add(takenBack)); test.quick && last.Sub(s.trouble) > 2*feedPause {
-					t.Errorf("the last start is %v after the acknowledgement, want it at once", last.Sub(s.trouble))
+				o.check(t, s.trouble.Add(test.calm+contactAfter(test.calm)))
+				if _, last := o.startsBetween(s.agents[0], s.trouble, s.trouble.Add(evacuationEnd)); test.quick && last.Sub(s.trouble) > 2*feedPause {
+					t.Errorf("the last start is %v after the acknowledgement, want none after two feed pauses", last.Sub(s.trouble))
 				}
-				if n, _ := o.startsBetween(s.agents[0], s.trouble.Add(takenBack), time.Now()); n == 0 {
-					t.Error("nothing starts there after the evacuation was taken back")
+				if n, _ := o.startsBetween(s.agents[0], s.trouble.Add(evacuationEnd), time.Now()); n == 0 {
+					t.Error("nothing starts in the domain after its evacuation has ended")
 				}
 				if n := served() - before; n < int(end/loadPause)/3 {
-					t.Errorf("%d jobs served beside the evacuation, want a third at least", n)
+					t.Errorf("%d jobs completed during the test, want at least a third", n)
 				}
 			})
 		})
 	}
 }
 
-// minContact is how long after trouble boxes are bound again; nothing without trouble.
-func minContact(calm time.Duration) time.Duration {
+// contactAfter is how long after a fault the limit applies again; 0 without a fault.
+func contactAfter(calm time.Duration) time.Duration {
 	if calm == 0 {
 		return 0
 	}
 	return evacuateContact
 }
 
-// A store that nobody can reach does not take targets out of service.
+// If no box can reach the store, targets stay in service.
 func TestNoNewsIsNoEvacuation(t *testing.T) {
 	inBubble(t, func(s *virtualSite) {
-		o := operate(s)
+		o := addOperator(s)
 		served := o.load(time.Now().Add(20 * time.Second))
 		s.play(18*time.Second, event{0, func() {
 			for _, e := range s.entries {
@@ -350,19 +349,19 @@
 		}})
 		for _, a := range s.agents {
 			if n, _ := o.startsBetween(a, s.trouble.Add(10*time.Second), time.Now()); n == 0 {
-				t.Errorf("nothing starts at %s while the store can't be reached", a.name)
+				t.Errorf("nothing starts at %s while the store is unreachable", a.name)
 			}
 		}
 		if n := served(); n < int(18*time.Second/loadPause)/2 {
-			t.Errorf("%d jobs served", n)
+			t.Errorf("%d jobs completed, want at least half", n)
 		}
 	})
 }
 
-// While all domains are evacuated a job is refused at once, and truthfully.
+// While all domains are evacuated, jobs are refused at once and none of their tasks runs.
 func TestAllDomainsEvacuated(t *testing.T) {
 	inBubble(t, func(s *virtualSite) {
-		o := operate(s)
+		o := addOperator(s)
 		for _, a := range s.agents {
 			o.evacuate(a.domain())
 		}
@@ -381,22 +380,22 @@
 		if n := len(s.spans()); n != 0 {
 			t.Errorf("%d runs of refused jobs", n)
 		}
-		o.takeBack(s.agents[1].domain())
+		o.endEvacuation(s.agents[1].domain())
 		wait.For(s.ctx, time.Second)
 		result := make(chan owner.BestEffortResult, 1)
 		s.entries[0].owner.RunBestEffort(testJob(9, 2, true), time.Second, func(r owner.BestEffortResult) { result <- r })
 		if r := <-result; r.State != job.StateCompleted {
-			t.Errorf("result %+v after one domain was taken back", r)
+			t.Errorf("result %+v after one evacuation has ended, want completed", r)
 		}
 	})
 }
 
-// Kept jobs that wait while every domain is evacuated start once one is taken back.
+// Durable jobs that wait while all domains are evacuated start once an evacuation ends.
 func TestKeptJobWaitsForDomain(t *testing.T) {
 	inBubble(t, func(s *virtualSite) {
-		o := operate(s)
+		o := addOperator(s)
 		result := make(chan owner.SubmitResult, 1)
-		// Its first run is under way when the domains are evacuated, and fails.
+		// The first run is active when the domains are evacuated, and fails.
 		for _, a := range s.agents {
 			a.target.newest().Work = func(n job.RunName) (time.Duration, gate.EndKind) {
 				if n.Run == 1 {
@@ -415,17 +414,17 @@
 		}
 		wait.For(s.ctx, 6*time.Second)
 		if n := len(s.spans()); n != 1 {
-			t.Fatalf("%d runs while all domains are evacuated, want the first alone", n)
+			t.Fatalf("%d runs while all domains are evacuated, want 1", n)
 		}
 		for _, a := range s.agents {
-			o.takeBack(a.domain())
+			o.endEvacuation(a.domain())
 		}
 		wait.For(s.ctx, time.Second)
 		if all := s.spans(); len(all) != 2 || all[1].End != gate.EndDone {
-			t.Errorf("runs %+v, want a second that is done", all)
+			t.Errorf("runs %+v, want two, the second done", all)
 		}
 	})
 }
 
-// domain is the failure domain of an agent's box.
+// domain returns the failure domain of the agent's box.
 func (b *agentBox) domain() string { return fmt.Sprintf("domain-of-%s", b.name) }
--- a/node/hubs_test.go
+++ b/node/hubs_test.go
@@ -15,31 +15,31 @@
 	"rackspur/rowstore"
 )
 
-// hubFleet returns the entry boxes of a fleet, a quarter of which have wide links, and the
-// choice of each.
+// hubFleet returns the hubs of each entry box of a fleet in which a quarter of the boxes
+// have wide links.
 func hubFleet(entries int) map[string]*hubs {
 	var all []member.Box
 	for i := range entries {
 		all = append(all, member.Box{Node: fmt.Sprintf("edge-lhr-%d-%d", i%5, i), Role: member.RoleEntry, Wide: i%4 == 0})
 	}
 	choices := map[string]*hubs{}
-	for i, d := range all {
-		// They know each other in different orders.
-		choices[d.Node] = newHubs(d.Node, func() []member.Box { return slices.Concat(all[i:], all[:i]) })
+	for i, b := range all {
+		// The order in which a box knows the others must not matter.
+		choices[b.Node] = newHubs(b.Node, func() []member.Box { return slices.Concat(all[i:], all[:i]) })
 	}
 	return choices
 }
 
-// The number of boxes that ask the store grows with one in sixteen, and no hub has many more
-// than its part of the others, at each size; small deployments have none.
+// One entry box in sixteen is a hub and uses the store directly, and the others are spread
+// evenly over the hubs. Small deployments have no hubs.
 func TestHubsOfFleet(t *testing.T) {
 	now := time.Now()
 	for _, size := range []struct{ entries, hubs int }{{4, 0}, {31, 0}, {55, 3}, {184, 11}, {368, 23}} {
 		asked := map[string]int{}
 		direct := 0
 		for _, h := range hubFleet(size.entries) {
-			if d, ok := h.hub(now); ok {
-				asked[d.Node]++
+			if b, ok := h.hub(now); ok {
+				asked[b.Node]++
 			} else {
 				direct++
 			}
@@ -59,8 +59,8 @@
 	}
 }
 
-// A hub that fails is not asked for a while; the next one is, and the store once none is
-// left.
+// A failed hub is avoided for a while in favour of the next one, or of the store if none
+// is left.
 func TestHubThatFails(t *testing.T) {
 	now := time.Now()
 	for _, h := range hubFleet(55) {
@@ -68,42 +68,42 @@
 		if !ok {
 			continue
 		}
-		h.fails(now, first.Node)
+		h.markFailed(now, first.Node)
 		second, ok := h.hub(now)
 		if !ok || second.Node == first.Node {
 			t.Fatalf("%v after %s has failed", second.Node, first.Node)
 		}
 		for {
-			d, ok := h.hub(now)
+			got, ok := h.hub(now)
 			if !ok {
 				break
 			}
-			h.fails(now, d.Node)
+			h.markFailed(now, got.Node)
 		}
-		if d, ok := h.hub(now.Add(hubPause)); !ok || d.Node != first.Node {
-			t.Errorf("%v is asked %v later, want %s", d.Node, hubPause, first.Node)
+		if got, ok := h.hub(now.Add(hubPause)); !ok || got.Node != first.Node {
+			t.Errorf("%v is asked %v later, want %s", got.Node, hubPause, first.Node)
 		}
-		h.fails(now.Add(hubPause), first.Node)
-		if d, _ := h.hub(now.Add(2*hubPause + time.Millisecond)); d.Node == first.Node {
+		h.markFailed(now.Add(hubPause), first.Node)
+		if got, _ := h.hub(now.Add(2*hubPause + time.Millisecond)); got.Node == first.Node {
 			t.Error("a hub that fails again is asked as soon as after its first failure")
 		}
-		h.answered(first.Node)
-		if d, _ := h.hub(now.Add(2*hubPause + time.Millisecond)); d.Node != first.Node {
+		h.markAnswered(first.Node)
+		if got, _ := h.hub(now.Add(2*hubPause + time.Millisecond)); got.Node != first.Node {
 			t.Error("a hub that answers is not asked")
 		}
 		everybody := h.known()
 		h.known = func() []member.Box {
 			return slices.DeleteFunc(everybody, func(b member.Box) bool { return b.Node == first.Node })
 		}
-		h.changed()
-		if d, _ := h.hub(now.Add(time.Hour)); d.Node == first.Node {
+		h.invalidate()
+		if got, _ := h.hub(now.Add(time.Hour)); got.Node == first.Node {
 			t.Error("a hub that is gone is asked")
 		}
 	}
 }
 
-// Forty entry boxes with two hubs ask the store as the hubs alone would, and hear of a new
-// box also right after a hub was lost.
+// Forty entry boxes with two hubs load the store no more than the hubs alone would, and
+// learn of a new box even right after the loss of a hub.
 func TestEntryBoxesAskTheirHubs(t *testing.T) {
 	const entries = 40
 	c := &cluster{t: t, store: rowstore.NewMemory(), wide: func(i int) bool { return i%4 == 0 }}
@@ -122,7 +122,7 @@
 			return true
 		}
 	}
-	c.until("all know each other", know(fmt.Sprintf("entry-%d", entries-1)))
+	c.until("all boxes know each other", know(fmt.Sprintf("entry-%d", entries-1)))
 	wait.For(context.Background(), 3*time.Second)
 	var calls atomic.Int64
 	c.store.SetFault(func(call rowstore.Call) rowstore.Fault {
@@ -133,9 +133,9 @@
 	})
 	const watched = 5 * time.Second
 	wait.For(context.Background(), watched)
-	// Each of two hubs follows the membership, a call each 2 s, and waits for the first life, a
-	// call each 5 s; a box may have asked once by itself, for a hub that was slow. By itself it
-	// would ask three or four times.
+	// Each of the two hubs makes a call every 2 s for the membership and every 5 s for the
+	// leases. Another box may make one call if its hub was slow; without hubs it would make
+	// three or four.
 	const most = 2*4 + entries
 	if n := calls.Load(); n > most {
 		t.Errorf("%d calls for changes in %v, want %d at most", n, watched, most)
@@ -157,7 +157,7 @@
 	late := member.Box{Node: "agent-late", Role: member.RoleAgent, Address: "127.0.0.1:1", Incarnation: "agent-late~a"}
 	began := time.Now()
 	member.Register(context.Background(), c.store, late, logr.Discard())
-	c.until("all hear of a new box", func() bool {
+	c.until("all boxes know the new box", func() bool {
 		for i := range entries {
 			e := c.entry(i)
 			e.mu.Lock()
@@ -172,8 +172,8 @@
 	t.Logf("known everywhere after %v", time.Since(began))
 }
 
-// All boxes, the hubs among them, name the same writer for a part, and another one once that
-// has failed; small deployments have none.
+// All boxes, including the hubs, select the same writer for a part, and another one after
+// it has failed. Small deployments have none.
 func TestWriterOfPart(t *testing.T) {
 	now := time.Now()
 	for _, size := range []struct {
@@ -190,7 +190,7 @@
 				continue
 			}
 			writers[first.Node] = true
-			h.fails(now, first.Node)
+			h.markFailed(now, first.Node)
 			if next, ok := h.writer(now, "0"); !ok || next.Node == first.Node {
 				t.Errorf("%d entry boxes: %v after %s has failed", size.entries, next.Node, first.Node)
 			}
--- a/node/jobs.go
+++ b/node/jobs.go
@@ -8,15 +8,14 @@
 	"rackspur/owner"
 )
 
-// This file holds what callers and other entry boxes ask of the jobs of an entry box.
-
-// Submit hands in a job.
+// Submit submits a durable job and waits for the result. If the context ends first, the
+// submission is withdrawn if possible.
 func (e *Entry) Submit(ctx context.Context, s job.Submission) owner.SubmitResult {
 	t := e.current.Load()
 	if t == nil {
 		return owner.SubmitRefused
 	}
-	t.awaitLife(ctx)
+	t.awaitLease(ctx)
 	result := make(chan owner.SubmitResult, 1)
 	t.owner.Submit(s, func(r owner.SubmitResult) { result <- r })
 	select {
@@ -27,19 +26,19 @@
 	}
 }
 
-// RunBestEffort runs a job that is not kept and waits for its end. The end of
-// the context says that the caller has left or its deadline has come.
+// RunBestEffort runs a best-effort job and waits for its end. The job is dropped when the
+// context ends because its caller has left or its deadline has passed.
 func (e *Entry) RunBestEffort(ctx context.Context, s job.Submission) owner.BestEffortResult {
 	t := e.current.Load()
 	if t == nil {
 		return owner.BestEffortResult{Refused: true}
 	}
 	result := make(chan owner.BestEffortResult, 1)
-	patience := defaultPatience
+	timeout := defaultCallTimeout
 	if deadline, ok := ctx.Deadline(); ok {
-		patience = time.Until(deadline)
+		timeout = time.Until(deadline)
 	}
-	ticket := t.owner.RunBestEffort(s, patience, func(r owner.BestEffortResult) { result <- r })
+	ticket := t.owner.RunBestEffort(s, timeout, func(r owner.BestEffortResult) { result <- r })
 	select {
 	case r := <-result:
 		return r
@@ -57,15 +56,15 @@
 	return ""
 }
 
-// State implements peer.Asked.State. It waits for an end that is about to be.
+// State implements peer.Asked.State. It waits a short time for the end of the job.
 func (e *Entry) State(ctx context.Context, id job.ID) (job.State, bool) {
 	t := e.current.Load()
 	if t == nil {
 		return "", false
 	}
-	ctx, cancel := context.WithTimeout(ctx, finalPatience)
+	ctx, cancel := context.WithTimeout(ctx, finalWait)
 	defer cancel()
-	return t.owner.AwaitEnd(ctx, id, endPatience)
+	return t.owner.AwaitEnd(ctx, id, endWait)
 }
 
 // Cancel implements peer.Asked.Cancel.
--- a/node/latestart_test.go
+++ b/node/latestart_test.go
@@ -11,23 +11,23 @@
 	"rackspur/owner"
 )
 
-// lateTask is how long the tasks of these tests work, lateSettle how long a job gets to end.
+// lateTask is the run time of tasks in these tests; lateSettle is how long a job may take.
 const (
 	lateTask   = 30 * time.Millisecond
 	lateSettle = 700 * time.Millisecond
 )
 
-// A start that got no answer may be carried out seconds later, by the target's next life if that
-// has not seen a higher token by then: a kept task ran again after its end was noted. The gate
-// can't prevent that before its first call to the newer life; this test bounds the time until
-// then, whatever the length of the crash and the moment of the next heartbeat.
+// An unanswered start may be carried out seconds later by a restarted target that has not
+// seen a higher fencing token, so that a task of a durable job runs again after its end was
+// noted. The gate can't prevent this before its first call to the restarted target; this
+// test bounds the time until that call.
 func TestNewerLifeIsCalledAtOnce(t *testing.T) {
 	tests := []struct {
 		name string
-		// dark: calls to a target that is down hang; else they are refused.
+		// dark says that calls to a crashed target hang instead of being refused.
 		dark bool
-		// within is how long after its start the newer life is called at the latest, perTime
-		// what is added for a target that was away for so long: it is looked for less often.
+		// within is the maximum time from the target's restart to the first call. One perTime-th
+		// of its down time is added, since a target that is down longer is polled less often.
 		within  time.Duration
 		perTime time.Duration
 	}{
@@ -42,25 +42,25 @@
 				inBubble(t, func(s *virtualSite) { late += s.lateStarts(down, test.dark, test.within+down/test.perTime) })
 			}
 			if late > 0 {
-				t.Errorf("%d of %d late starts carried out %v and more after a newer life's start, want none", late, int(longest/step)+1, test.within)
+				t.Errorf("%d of %d late starts carried out %v and more after the target's restart, want none", late, int(longest/step)+1, test.within)
 			}
 		})
 	}
 }
 
-// lateStarts has a kept task start at the second try and end, its target crash, and the first
-// try carried out so long after the target's next start. It returns how often the task began
-// again.
+// lateStarts lets a task of a durable job start at the second try and end, crashes its
+// target, and carries out the first try some time after the target's restart. It returns
+// how often the task was started again.
 func (s *virtualSite) lateStarts(down time.Duration, dark bool, after time.Duration) (again int) {
 	for _, a := range s.agents {
 		a.target.newest().Work = func(job.RunName) (time.Duration, gate.EndKind) { return lateTask, gate.EndDone }
-		a.target.keepFirstTries()
+		a.target.withholdFirstTries()
 	}
 	s.entries[0].owner.Submit(testJob(1, 1, false), func(owner.SubmitResult) {})
 	wait.For(s.ctx, lateSettle)
 	before := len(s.spans())
 	for _, a := range s.agents {
-		for _, late := range a.target.keptTries() {
+		for _, late := range a.target.withheldTries() {
 			a.target.crash(dark)
 			wait.For(s.ctx, down)
 			next := a.target.newest().Again()
--- a/node/need_test.go
+++ b/node/lease_test.go
@@ -13,8 +13,8 @@
 	"rackspur/rowstore"
 )
 
-// lives returns how many lives stand in the store.
-func (c *cluster) lives() int {
+// leases returns the number of incarnations in the store.
+func (c *cluster) leases() int {
 	rows, err := rowstore.ScanAll(context.Background(), c.store, "lives", []string{"lives-0", "lives-1"})
 	if err != nil {
 		c.t.Fatal(err)
@@ -22,24 +22,24 @@
 	return len(rows)
 }
 
-// Jobs that are not kept need no life in the store. The first that is kept makes one
-// for its owner, and for the others, which may have to take over from it.
+// Best-effort jobs need no lease. The first durable job makes its owner acquire one, and
+// the other entry boxes too, since they may have to take over.
 func TestLifeBeginsWithNeed(t *testing.T) {
 	c := newIdleCluster(t, 3, 2, quickWork)
 	if r := c.entry(0).RunBestEffort(context.Background(), testJob(1, 4, true)); r.State != job.StateCompleted {
 		t.Fatalf("best effort: %+v", r)
 	}
-	if n := c.lives(); n != 0 {
-		t.Fatalf("%d lives stand in the store though no job is kept", n)
+	if n := c.leases(); n != 0 {
+		t.Fatalf("%d leases without a durable job, want none", n)
 	}
 	if r := submit(c.entry(0), testJob(2, 2, false)); r != owner.SubmitAccepted {
-		t.Fatalf("first kept job: %v", r)
+		t.Fatalf("first durable job: %v", r)
 	}
-	c.until("all have begun a life", func() bool { return c.lives() == 3 })
+	c.until("all entry boxes have leases", func() bool { return c.leases() == 3 })
 	c.until("completed", func() bool { return c.state(1, testJob(2, 2, false).ID) == job.StateCompleted })
 }
 
-// While the store serves nobody, the first job that is kept is refused at once.
+// While the store is unavailable, the first durable job is refused at once.
 func TestFirstKeptJobInOutage(t *testing.T) {
 	c := newIdleCluster(t, 1, 1, quickWork)
 	c.store.SetFault(func(rowstore.Call) rowstore.Fault { return rowstore.FaultRefuse })
@@ -51,31 +51,31 @@
 		t.Errorf("refused after %v", took)
 	}
 	c.store.SetFault(nil)
-	c.until("kept jobs are taken", func() bool { return submit(c.entry(0), testJob(2, 1, false)) == owner.SubmitAccepted })
+	c.until("durable jobs are accepted", func() bool { return submit(c.entry(0), testJob(2, 1, false)) == owner.SubmitAccepted })
 }
 
-// A box that dies right after the first kept job was accepted has that job taken
-// over by one that had no life until then.
+// If a box is lost right after it has accepted the first durable job, a box that had no
+// lease until then takes the job over.
 func TestFirstKeptJobIsTakenOver(t *testing.T) {
 	c := newIdleCluster(t, 2, 2, quickWork)
 	s := testJob(1, 4, false)
-	// The first kept job is refused if its owner's life does not stand within lifePatience, as
-	// on a busy machine; callers hand it in again.
-	c.until("the first kept job is taken", func() bool { return submit(c.entry(0), s) == owner.SubmitAccepted })
+	// The job may be refused at first: on a busy box its owner may take longer than leaseWait
+	// to acquire the lease.
+	c.until("the first durable job is accepted", func() bool { return submit(c.entry(0), s) == owner.SubmitAccepted })
 	c.mu.Lock()
 	c.entries[0].kill()
 	c.mu.Unlock()
-	c.until("completed at the other", func() bool { return c.state(1, s.ID) == job.StateCompleted })
-	c.checkRuns(allKept)
+	c.until("the job is completed at the other box", func() bool { return c.state(1, s.ID) == job.StateCompleted })
+	c.checkRuns(allDurable)
 }
 
-// waitCalm gives boxes the time to do what they should not.
-func waitCalm() { wait.For(context.Background(), 2*member.RenewPause) }
+// waitIdle gives boxes time for writes that they should not make.
+func waitIdle() { wait.For(context.Background(), 2*member.RenewPause) }
 
-// A deployment without kept jobs writes nothing while it runs.
+// A deployment without durable jobs does not write to the store.
 func TestIdleEntriesDoNotWrite(t *testing.T) {
 	c := newIdleCluster(t, 3, 2, quickWork)
-	waitCalm()
+	waitIdle()
 	writes := 0
 	c.store.SetFault(func(call rowstore.Call) rowstore.Fault {
 		if call == rowstore.CallTransact {
@@ -83,15 +83,15 @@
 		}
 		return rowstore.FaultNone
 	})
-	waitCalm()
+	waitIdle()
 	c.store.SetFault(nil)
 	if writes != 0 {
 		t.Errorf("%d writes in %v without any job", writes, 2*member.RenewPause)
 	}
 }
 
-// Ends of jobs that nobody knows any more are noted also where no job is kept: a gate
-// that waits for a word on them lets the whole lease of its target lapse in the end.
+// Ends of runs whose jobs are unknown must be resolved even without durable jobs: a gate
+// that waits for this too long lets its target's lease lapse.
 func TestForeignEndsWithoutLife(t *testing.T) {
 	c := newIdleCluster(t, 1, 1, func(job.RunName) (time.Duration, gate.EndKind) { return 200 * time.Millisecond, gate.EndDone })
 	go c.entry(0).RunBestEffort(context.Background(), testJob(1, 3, true))
@@ -101,7 +101,7 @@
 	driver := c.agents[0].box.driver
 	c.until("the ends are noted", func() bool {
 		if driver.Lapsing() {
-			t.Fatal("the lease was left to lapse")
+			t.Fatal("the gate lets the lease lapse")
 		}
 		for _, spans := range c.spans() {
 			if !spans[0].Noted {
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -10,8 +10,8 @@
 	metricJobTime = "jobs.time_us"
 )
 
-// gauges registers the counters of the owner of the current life, the age of the
-// configuration, and the links.
+// gauges registers the counters of the current owner, the version and age of the
+// configuration, the evacuated failure domains and the linked gates.
 func (e *Entry) gauges() {
 	register := func(name string, read func(owner.Stats) int64) {
 		e.options.Metrics.Gauge(name, func() int64 {
@@ -44,7 +44,7 @@
 		}
 		return 0
 	})
-	// -1 until the configuration was read for the first time.
+	// -1 until the first configuration is read.
 	e.options.Metrics.Gauge("config.age_ms", func() int64 {
 		age, ok := e.routes.Age()
 		if !ok {
@@ -61,8 +61,8 @@
 	})
 }
 
-// gauges registers what the agent's gate counts, whether its failure domain is evacuated,
-// as far as the gate knows, and the age of that news; -1 before the first.
+// gauges registers the gate's counters, whether it knows its failure domain to be
+// evacuated, and the age of that information, or -1 if there is none yet.
 func (a *Agent) gauges() {
 	register := func(name string, read func(gate.Counts) int64) {
 		a.options.Metrics.Gauge(name, func() int64 { return read(a.driver.Counts()) })
--- a/node/pending.go
+++ b/node/pending.go
@@ -8,34 +8,33 @@
 	"rackspur/member"
 )
 
-// pendingAge is how old the count of jobs that wait elsewhere may be. With the pause between
-// two renewals of a lease, which tell it, that is within the 2 s that callers are promised.
+// pendingAge is how old the count of jobs waiting elsewhere may be. Other boxes write their
+// counts with each lease renewal, so that answers to callers are at most 2 s old in all.
 const pendingAge = time.Second
 
-// pendingElsewhere is how many jobs of each queue wait at other entry boxes. It is read from
-// their lives, at most once in pendingAge however often callers ask, and not at all where no
-// job is kept. Asking every entry box for each caller kept small boxes from all else: for
-// 183 connections a box with a fifth of a core stood still for 1.6 s.
+// pendingElsewhere caches the number of jobs per queue that wait at other entry boxes. It
+// is read from their rows in the store at most once per pendingAge; asking all other boxes
+// for each caller would overload small ones.
 type pendingElsewhere struct {
 	mu sync.Mutex
-	// read is when the count was read.
+	// read is when the counts were read.
 	read   time.Time
 	counts map[string]int
 }
 
-// PendingJobs counts the accepted jobs of a queue none of whose tasks has begun, at all entry
+// PendingJobs counts the accepted jobs of a queue that have no started task, at all entry
 // boxes.
 func (e *Entry) PendingJobs(ctx context.Context, queue string) int {
 	t := e.current.Load()
 	if t == nil || t.writers.Load() == nil {
-		// No job is kept in this deployment.
+		// This deployment has no durable jobs.
 		return 0
 	}
 	return t.owner.Pending(queue) + e.pending.count(ctx, e, t.box.Incarnation)[queue]
 }
 
-// count returns the counts, read anew if they are old. While the store serves nobody the last
-// ones stand.
+// count returns the counts, after reading them again if they are too old. If the store is
+// unavailable it returns the last ones.
 func (p *pendingElsewhere) count(ctx context.Context, e *Entry, own string) map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,7 +45,7 @@
 	defer cancel()
 	counts, err := member.ReadPending(ctx, e.store, e.options.Parts, own, e.options.Unreadable)
 	if err != nil {
-		e.log.V(1).Info("Jobs that wait elsewhere not counted.", "ageMS", time.Since(p.read).Milliseconds(), "error", err.Error())
+		e.log.V(1).Info("Pending jobs at other entry boxes not read.", "ageMS", time.Since(p.read).Milliseconds(), "error", err.Error())
 		return p.counts
 	}
 	p.read = time.Now()
--- a/node/pending_test.go
+++ b/node/pending_test.go
@@ -12,9 +12,8 @@
 	"rackspur/rowstore"
 )
 
-// Callers that ask how many jobs wait cost no message to other entry boxes, and the store
-// one look a second. Each question went to all other entry boxes: at 184 of them a box with a
-// fifth of a core stood still for 1.6 s, and lost its calls to hubs and gates.
+// Queries for the number of pending jobs must not reach other entry boxes, and must read
+// the store at most once a second: one message per box and query overloads small boxes.
 func TestPendingAsksNobody(t *testing.T) {
 	c := newIdleCluster(t, 6, 1, quickWork)
 	reads := 0
@@ -28,8 +27,8 @@
 		c.entry(0).PendingJobs(context.Background(), testQueue().Name)
 	}
 	c.store.SetFault(nil)
-	if n := c.asked(0); n != 0 || reads != 0 {
-		t.Errorf("%d entry boxes asked and %d reads though no job is kept", n, reads)
+	if n := c.connections(0); n != 0 || reads != 0 {
+		t.Errorf("%d entry boxes asked and %d reads without durable jobs, want none", n, reads)
 	}
 	if r := submit(c.entry(0), testJob(1, 1, false)); r != owner.SubmitAccepted {
 		t.Fatalf("result %v", r)
@@ -46,21 +45,21 @@
 		c.entry(0).PendingJobs(context.Background(), testQueue().Name)
 	}
 	c.store.SetFault(nil)
-	if n := c.asked(0); n != 0 || reads > questions/2 {
-		t.Errorf("%d entry boxes asked and %d reads for %d questions", n, reads, questions)
+	if n := c.connections(0); n != 0 || reads > questions/2 {
+		t.Errorf("%d entry boxes asked and %d reads for %d queries", n, reads, questions)
 	}
 }
 
-// asked returns how many entry boxes an entry box has connections to.
-func (c *cluster) asked(i int) int {
+// connections returns the number of entry boxes that an entry box has connections to.
+func (c *cluster) connections(i int) int {
 	e := c.entry(i)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.asks)
+	return len(e.askClients)
 }
 
-// What callers are told of jobs that wait may be 2 s old. A count is as old as the last read,
-// and what is read as the last renewal of a lease, each with the time of a call.
+// The number of pending jobs that callers get may be 2 s old: the time since the last read,
+// plus the time between the lease renewals that write the counts, plus two calls.
 func TestPendingIsYoungEnough(t *testing.T) {
 	const promised, call = 2 * time.Second, 100 * time.Millisecond
 	if oldest := pendingAge + member.RenewPause + 2*call; oldest > promised {
@@ -68,8 +67,7 @@
 	}
 }
 
-// Jobs that wait at one entry box are counted at every other, and no longer once they have
-// begun.
+// Jobs that wait at one entry box are counted at all others until they start.
 func TestPendingElsewhere(t *testing.T) {
 	c := newCluster(t, 3, 1, func(job.RunName) (time.Duration, gate.EndKind) { return 5 * time.Second, gate.EndDone })
 	c.mu.Lock()
@@ -84,10 +82,10 @@
 		}
 	}
 	count := func() int { return c.entry(2).PendingJobs(context.Background(), testQueue().Name) }
-	c.until("all that wait are counted", func() bool { return count() == waiting })
+	c.until("all waiting jobs are counted", func() bool { return count() == waiting })
 	c.mu.Lock()
 	c.agents[0] = c.startAgent(0)
 	c.mu.Unlock()
-	c.until("all have begun", func() bool { return len(c.spans()) == waiting })
-	c.until("none counts", func() bool { return count() == 0 })
+	c.until("all jobs have started", func() bool { return len(c.spans()) == waiting })
+	c.until("no job is counted", func() bool { return count() == 0 })
 }
--- a/node/random_test.go
+++ b/node/random_test.go
@@ -17,15 +17,16 @@
 	"rackspur/rowstore"
 )
 
-// Settings of the random test by environment.
+// Environment variables of TestRandomFaults.
 const (
 	seedVariable    = "RACKSPUR_RANDOM_SEED"
 	secondsVariable = "RACKSPUR_RANDOM_SECONDS"
 )
 
-// regressionSeeds are seeds that failed once, with the cause.
+// regressionSeeds are the seeds that are always run, with the failure that each once
+// showed.
 var regressionSeeds = []uint64{
-	1, // the first seed; no failure known
+	1, // no known failure
 }
 
 func numberFromEnvironment(name string, otherwise uint64) uint64 {
@@ -36,8 +37,8 @@
 	return n
 }
 
-// TestRandomFaults runs jobs while boxes die, the store refuses and loses
-// calls, and executors fall silent. What callers and executors saw is checked.
+// TestRandomFaults runs jobs while boxes are lost, the store refuses and loses calls, and
+// targets stop answering. It checks what callers and targets have seen.
 func TestRandomFaults(t *testing.T) {
 	length := time.Duration(numberFromEnvironment(secondsVariable, 6)) * time.Second
 	seeds := regressionSeeds
@@ -49,10 +50,10 @@
 	}
 }
 
-// ledger is what callers saw of their jobs.
+// ledger records the results of submissions.
 type ledger struct {
 	mu sync.Mutex
-	// accepted has the number of tasks of each job that was taken.
+	// accepted has the number of tasks of each accepted job.
 	accepted map[job.ID]int
 	refused  map[job.ID]bool
 }
@@ -61,7 +62,7 @@
 	t.Logf("seed %d; run it again with %s=%d", seed, seedVariable, seed)
 	random := rand.New(rand.NewPCG(seed, seed))
 	c := newCluster(t, 3, 4, func(n job.RunName) (time.Duration, gate.EndKind) {
-		// Each task lasts as long whenever it runs; one in thirty runs fails.
+		// All runs of a task take the same time; one run in thirty fails.
 		mix := uint64(n.Index)*2654435761 + uint64(n.Run)*40503 + uint64(len(n.Job))
 		how := gate.EndDone
 		if mix%30 == 7 {
@@ -86,14 +87,14 @@
 		wait.For(context.Background(), time.Duration(10+random.IntN(30))*time.Millisecond)
 	}
 	c.store.SetFault(nil)
-	for _, e := range c.executors {
+	for _, e := range c.targets {
 		e.SetDown(false)
 	}
 	callers.Wait()
 	l.check(t, c)
 }
 
-// submit hands a job in, again at other boxes while its fate is not known.
+// submit submits a job, and retries at other boxes while the result is unknown.
 func (l *ledger) submit(c *cluster, i int, s job.Submission) {
 	for try := 0; ; try++ {
 		switch submit(c.entry((i+try)%3), s) {
@@ -112,7 +113,7 @@
 	}
 }
 
-// fault does one thing to the cluster.
+// fault applies a random fault.
 func (c *cluster) fault(random *rand.Rand) {
 	switch random.IntN(7) {
 	case 0:
@@ -129,7 +130,7 @@
 		c.store.Forget()
 		c.store.SetFault(nil)
 	case 6:
-		e := c.executors[random.IntN(len(c.executors))]
+		e := c.targets[random.IntN(len(c.targets))]
 		e.SetDown(true)
 		time.AfterFunc(700*time.Millisecond, func() { e.SetDown(false) })
 	}
@@ -146,7 +147,7 @@
 	}
 }
 
-// check waits until every accepted job has ended and checks what was seen.
+// check waits until every accepted job has ended and checks its runs.
 func (l *ledger) check(t *testing.T, c *cluster) {
 	t.Helper()
 	t.Logf("%d jobs accepted, %d refused", len(l.accepted), len(l.refused))
@@ -157,7 +158,7 @@
 			return states[id].Final()
 		})
 	}
-	c.checkRuns(allKept)
+	c.checkRuns(allDurable)
 	runs := c.spans()
 	for id, state := range states {
 		doneTasks := 0
--- a/node/restart_test.go
+++ b/node/restart_test.go
@@ -13,106 +13,104 @@
 	"rackspur/owner"
 )
 
-// A target that has crashed may start again under its id, and everything that it counts
-// begins anew then. TestTargetRestarts brings such restarts together with whatever may
-// happen beside them, by seeds, in virtual time.
+// A crashed target may restart under the same id, with all its counters reset.
+// TestTargetRestarts combines such restarts with other random faults in virtual time.
 
-// Variables and sizes of the test.
+// Environment variables and sizes of the test.
 const (
 	restartSeedVariable  = "RACKSPUR_RESTART_SEED"
 	restartSeedsVariable = "RACKSPUR_RESTART_SEEDS"
-	// restartSeeds is how many seeds are played in each run.
+	// restartSeeds is the default number of seeds.
 	restartSeeds = 150
-	// restartLength is how long events and new jobs go on, restartSettle how long the site
-	// then gets to answer everything: a contact time, a lease and a task, twice.
+	// restartLength is how long faults are injected and jobs submitted; restartSettle is how
+	// long the site then gets to answer all jobs: two contact timeouts, leases and tasks.
 	restartLength = 6 * time.Second
 	restartSettle = 12 * time.Second
 	restartEvents = 14
 	restartJobs   = 30
-	// drainBound is when nothing may start any more after draining was acknowledged: the
-	// users allow 2 s.
+	// drainBound is how long after draining was acknowledged tasks may still start.
 	drainBound = 2 * time.Second
-	// inTouch is how long after its start a process is not held to bounds of time.
+	// inTouch is how long after its start drainBound does not apply to a process.
 	inTouch = 3 * time.Second
 )
 
-// restartRegression are seeds that failed once, with the cause; for each, two runs of a
-// task were at work for 20 to 90 ms.
+// restartRegression are seeds that once failed with two concurrent runs of a task, with
+// the cause.
 var restartRegression = []uint64{
-	3,    // the former life's deregistration came late, and all that ran counted as over at once
-	719,  // holds that hung since the crash left the newer life unheard for 0.16 s
-	2066, // the same, for 50 ms: it carried out starts that were meant for the former life
+	3,    // a late deregistration of the former target made all active runs count as ended
+	719,  // hanging holds delayed the first call to the restarted target by 0.16 s
+	2066, // the same, by 50 ms: the restarted target carried out starts meant for the former one
 	2282, // the same
-	2740, // two calls to a newer life, where one fences it, left it open for as long
+	2740, // the restarted target was fenced only by the second of two calls
 }
 
-// TestTargetRestarts plays random orders of restarts (same id, new id, clocks behind and
-// ahead), heartbeats and deregistrations that come late, orders that are carried out late,
-// drains, and kills of the agent's process.
+// TestTargetRestarts runs random sequences of target restarts (same or new id, clock behind
+// or ahead), late heartbeats and deregistrations, late starts and stops, drains, and kills
+// of the agent's process.
 func TestTargetRestarts(t *testing.T) {
 	if seed := numberFromEnvironment(restartSeedVariable, 0); seed != 0 {
-		playRestarts(t, seed, drawBounds(seed))
+		playRestarts(t, seed, randomBounds(seed))
 		return
 	}
 	for _, seed := range restartRegression {
-		playRestarts(t, seed, usualBounds)
+		playRestarts(t, seed, defaultBounds)
 	}
 	count := numberFromEnvironment(restartSeedsVariable, restartSeeds)
 	for seed := uint64(1); seed <= count; seed++ {
-		playRestarts(t, seed, drawBounds(seed))
+		playRestarts(t, seed, randomBounds(seed))
 	}
 }
 
-// TestTargetRestartsUnderUsualBounds plays the same seeds under the usual bounds.
+// TestTargetRestartsUnderUsualBounds runs the same seeds under the default bounds.
 func TestTargetRestartsUnderUsualBounds(t *testing.T) {
 	count := numberFromEnvironment(restartSeedsVariable, restartSeeds)
 	for seed := uint64(1); seed <= count; seed++ {
-		playRestarts(t, seed, usualBounds)
+		playRestarts(t, seed, defaultBounds)
 	}
 }
 
-// playRestarts plays a seed; what happens does not depend on the bounds.
+// playRestarts runs a seed. The sequence of events does not depend on the bounds.
 func playRestarts(t *testing.T, seed uint64, bounds virtualBounds) {
 	t.Run(fmt.Sprint(seed), func(t *testing.T) {
 		t.Parallel()
 		inBubbleWith(t, bounds, func(s *virtualSite) {
-			r := &restartPlay{virtualSite: s, random: rand.New(rand.NewPCG(seed, seed)), leaving: map[*standin.Executor]time.Time{}, stale: map[*agentBox]time.Time{}, kept: map[job.ID]bool{}}
+			r := &restartPlay{virtualSite: s, random: rand.New(rand.NewPCG(seed, seed)), draining: map[*standin.Executor]time.Time{}, stale: map[*agentBox]time.Time{}, durable: map[job.ID]bool{}}
 			r.play()
 			r.check()
 		})
 	})
 }
 
-// restartPlay is one play of TestTargetRestarts.
+// restartPlay is one run of TestTargetRestarts.
 type restartPlay struct {
 	*virtualSite
 	random *rand.Rand
-	// results has an entry for each job that was answered.
-	handedIn int
-	results  chan bool
-	// leaving is when the draining of a life was acknowledged.
-	leaving map[*standin.Executor]time.Time
-	// stale is when the newest process of an agent began with an old description.
+	// submitted counts the jobs; results has an entry for each one that was answered.
+	submitted int
+	results   chan bool
+	// draining is when the draining of a target was acknowledged.
+	draining map[*standin.Executor]time.Time
+	// stale is when the newest process of an agent started with a stale description.
 	stale map[*agentBox]time.Time
-	// kept are the jobs that are kept.
-	kept  map[job.ID]bool
-	story []string
+	// durable are the durable jobs.
+	durable map[job.ID]bool
+	events  []string
 }
 
-// between draws a time.
-func (r *restartPlay) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(r.random.Int64N(int64(most-least)+1))
+// between returns a random duration between low and high.
+func (r *restartPlay) between(low, high time.Duration) time.Duration {
+	return low + time.Duration(r.random.Int64N(int64(high-low)+1))
 }
 
-func (r *restartPlay) note(format string, args ...any) {
-	r.story = append(r.story, fmt.Sprintf("%.3f ", time.Since(r.trouble).Seconds())+fmt.Sprintf(format, args...))
+func (r *restartPlay) record(format string, args ...any) {
+	r.events = append(r.events, fmt.Sprintf("%.3f ", time.Since(r.trouble).Seconds())+fmt.Sprintf(format, args...))
 }
 
 func (r *restartPlay) play() {
 	r.trouble = time.Now()
 	r.results = make(chan bool, restartJobs)
 	work := func(n job.RunName) (time.Duration, gate.EndKind) {
-		// A task lasts as long whenever it runs.
+		// All runs of a task take the same time.
 		mix := uint64(n.Index)*2654435761 + uint64(n.Job[len(n.Job)-1])*40503
 		return time.Duration(30+mix%1200) * time.Millisecond, gate.EndDone
 	}
@@ -129,28 +127,28 @@
 			continue
 		}
 		n++
-		r.handInJob(n)
+		r.submitJob(n)
 	}
 	wait.For(r.ctx, time.Until(end))
 	for _, a := range r.agents {
 		a.target.setStops(stopFault{})
 		a.target.setStartsLate(0)
 		if a.target.newest().Down() {
-			r.again(a, true)
+			r.restartTarget(a, true)
 		}
 	}
 	wait.For(r.ctx, restartSettle)
 }
 
-// handInJob hands a job in, best effort at either entry box and again at the other while
-// it gets no answer, or kept at the first.
-func (r *restartPlay) handInJob(n int) {
-	r.handedIn++
+// submitJob submits a best-effort job to a random entry box, and resubmits it to the other
+// while it gets no answer; or a durable one to the first entry box.
+func (r *restartPlay) submitJob(n int) {
+	r.submitted++
 	bestEffort, at := r.random.IntN(4) != 0, r.random.IntN(len(r.entries))
 	s := testJob(n, 1+r.random.IntN(5), bestEffort)
 	s.Steps[0].EstimateMS = 600
 	if !bestEffort {
-		r.kept[s.ID] = true
+		r.durable[s.ID] = true
 		r.entries[0].owner.Submit(s, func(result owner.SubmitResult) { r.results <- result == owner.SubmitAccepted })
 		return
 	}
@@ -165,7 +163,7 @@
 	}()
 }
 
-// event does one thing to a box with an agent.
+// event applies a random fault to an agent, its target or a link.
 func (r *restartPlay) event(a *agentBox) {
 	e := a.target.newest()
 	switch kind := r.random.IntN(9); kind {
@@ -177,45 +175,45 @@
 		if e.Down() {
 			return
 		}
-		r.note("%s crashes for %v, dark %v, same id %v", a.name, down, dark, sameID)
-		word, ok := e.Beat()
+		r.record("the target of %s crashes for %v, dark %v, same id %v", a.name, down, dark, sameID)
+		last, ok := e.Beat()
 		a.target.crash(dark)
-		time.AfterFunc(down, func() { r.again(a, sameID) })
+		time.AfterFunc(down, func() { r.restartTarget(a, sameID) })
 		if ok && r.random.IntN(2) == 0 {
-			r.late(a, word, down+late)
+			r.sendLate(a, last, down+late)
 		}
 	case 4:
 		if a.running().ctx.Err() != nil {
 			return // It is down already.
 		}
 		down, stale := r.between(10*time.Millisecond, 700*time.Millisecond), r.random.IntN(2) == 0
-		r.note("the agent at %s is killed for %v; its store is stale %v", a.name, down, stale)
-		a.keepDescription(nil)
+		r.record("%s is killed for %v; its stored description is stale: %v", a.name, down, stale)
+		a.storeDescription(nil)
 		if stale {
-			d := a.known()
+			d := a.storedDescription()
 			d.Draining = false
-			a.keepDescription(&d)
+			a.storeDescription(&d)
 			r.stale[a] = time.Now()
 		}
 		a.kill()
 		time.AfterFunc(down, a.start)
 	case 5:
-		if e.Down() || !r.mayLeave(a) {
+		if e.Down() || !r.mayDrain(a) {
 			return
 		}
 		e.Drain()
 		if beat, ok := e.Beat(); ok && a.running().driver.Heartbeat(heartbeatOf(beat)) {
-			r.note("%s leaves", a.name)
-			r.leaving[e] = time.Now()
+			r.record("the target of %s drains", a.name)
+			r.draining[e] = time.Now()
 		}
 	case 6:
 		late := r.between(10*time.Millisecond, 400*time.Millisecond)
-		r.note("starts at %s are carried out %v late", a.name, late)
+		r.record("starts at %s are carried out %v late", a.name, late)
 		a.target.setStartsLate(late)
 		time.AfterFunc(r.between(0, 600*time.Millisecond), func() { a.target.setStartsLate(0) })
 	case 7:
 		late := r.between(0, time.Second)
-		r.note("stops at %s are carried out %v late", a.name, late)
+		r.record("stops at %s are carried out %v late", a.name, late)
 		a.target.setStops(stopFault{on: true, after: late})
 		time.AfterFunc(r.between(0, time.Second), func() { a.target.setStops(stopFault{}) })
 	case 8:
@@ -225,33 +223,33 @@
 	}
 }
 
-// mayLeave says whether a target may leave: one stays.
-func (r *restartPlay) mayLeave(a *agentBox) bool {
+// mayDrain reports whether a target may drain: at least one other must not be draining.
+func (r *restartPlay) mayDrain(a *agentBox) bool {
 	for _, other := range r.agents {
-		if other != a && r.leaving[other.target.newest()].IsZero() {
+		if other != a && r.draining[other.target.newest()].IsZero() {
 			return true
 		}
 	}
 	return false
 }
 
-// late has a former life's last words come late: that it is there, that it leaves, or that
-// it has ended.
-func (r *restartPlay) late(a *agentBox, word standin.Beat, after time.Duration) {
+// sendLate delivers a late message of a former target: a heartbeat, a draining heartbeat or
+// a deregistration.
+func (r *restartPlay) sendLate(a *agentBox, last standin.Beat, after time.Duration) {
 	kind := r.random.IntN(3)
-	word.Draining = kind == 1
+	last.Draining = kind == 1
 	time.AfterFunc(after, func() {
 		d := a.running().driver
 		if kind == 2 {
-			d.Deregister(gate.Life{ID: word.Life, Born: word.Born})
+			d.Deregister(gate.Life{ID: last.Life, Born: last.Born})
 			return
 		}
-		d.Heartbeat(heartbeatOf(word))
+		d.Heartbeat(heartbeatOf(last))
 	})
 }
 
-// again has a target that is down start again.
-func (r *restartPlay) again(a *agentBox, sameID bool) {
+// restartTarget restarts a target that is down.
+func (r *restartPlay) restartTarget(a *agentBox, sameID bool) {
 	old := a.target.newest()
 	if !old.Down() {
 		return
@@ -260,7 +258,7 @@
 	if !sameID {
 		next.Life = fmt.Sprintf("%s+", old.Life)
 	}
-	// The clock may begin anywhere.
+	// The target's clock may start at any value.
 	next.FirstClock = []int64{1, 1000, 500_000}[next.Born%3]
 	a.target.begin(next)
 	if beat, ok := next.Beat(); ok {
@@ -268,23 +266,23 @@
 	}
 }
 
-// check checks what callers and targets have seen.
+// check runs all checks and logs the events if one of them fails.
 func (r *restartPlay) check() {
 	r.t.Helper()
 	r.checkRuns()
-	r.checkLeaving()
+	r.checkDraining()
 	r.checkAnswered()
-	r.checkRoom()
+	r.checkCapacity()
 	if r.t.Failed() {
 		r.t.Logf("bounds %+v", r.bounds)
-		for _, line := range r.story {
+		for _, line := range r.events {
 			r.t.Log(line)
 		}
 	}
 }
 
-// checkRuns checks that no two runs of a task were at work at one time, and that none was
-// of a kept job was started after one whose end was noted as done.
+// checkRuns checks that no two runs of a task were active at the same time, and that no
+// task of a durable job was started after a run whose end was noted as done.
 func (r *restartPlay) checkRuns() {
 	r.t.Helper()
 	noted := map[job.TaskName]standin.Span{}
@@ -295,59 +293,60 @@
 				continue
 			}
 			if both := min(earlier.ended.Sub(later.Started), later.ended.Sub(later.Started)); both > 0 {
-				r.t.Errorf("two runs of job %v at one time for %v: %s; %s", later.Name.Job, both, r.tell(earlier), r.tell(later))
+				r.t.Errorf("two runs of job %v at the same time for %v: %s; %s", later.Name.Job, both, r.describe(earlier), r.describe(later))
 			}
 		}
 		if done, ok := noted[later.Name.TaskName]; ok {
-			r.t.Errorf("job %v: %s although run %d was done and noted", later.Name.Job, r.tell(later), done.Name.Run)
+			r.t.Errorf("job %v: %s although the end of run %d was noted", later.Name.Job, r.describe(later), done.Name.Run)
 		}
-		if r.kept[later.Name.Job] && later.End == gate.EndDone && later.Noted {
+		if r.durable[later.Name.Job] && later.End == gate.EndDone && later.Noted {
 			noted[later.Name.TaskName] = later.Span
 		}
 	}
 }
 
-// checkLeaving checks that nothing was started at a life long after it said that it leaves.
-func (r *restartPlay) checkLeaving() {
+// checkDraining checks that nothing was started at a target later than drainBound after
+// its draining was acknowledged.
+func (r *restartPlay) checkDraining() {
 	r.t.Helper()
 	for _, a := range r.agents {
 		for _, e := range a.target.all() {
-			told, leaves := r.leaving[e]
+			acknowledged, drains := r.draining[e]
 			for _, s := range e.Journal() {
-				// A process that begins with an old description is not held to what the
-				// one before has acknowledged, until it is in touch again.
+				// A process that started with a stale description does not know at first what
+				// the one before has acknowledged.
 				excused := s.Started.After(r.stale[a]) && s.Started.Before(r.stale[a].Add(inTouch))
-				if leaves && !excused && s.Started.After(told.Add(drainBound)) {
-					r.t.Errorf("%v started %v after draining was acknowledged", s.Name, s.Started.Sub(told))
+				if drains && !excused && s.Started.After(acknowledged.Add(drainBound)) {
+					r.t.Errorf("%v started %v after draining was acknowledged", s.Name, s.Started.Sub(acknowledged))
 				}
 			}
 		}
 	}
 }
 
-// checkAnswered checks that each job was answered.
+// checkAnswered checks that all jobs were answered.
 func (r *restartPlay) checkAnswered() {
 	r.t.Helper()
-	if n := len(r.results); n != r.handedIn {
-		r.t.Errorf("%d of %d jobs answered", n, r.handedIn)
+	if n := len(r.results); n != r.submitted {
+		r.t.Errorf("%d of %d jobs answered", n, r.submitted)
 	}
 }
 
-// checkRoom checks that each gate is open, unless its target leaves, has all its room, and
-// knows of no run.
-func (r *restartPlay) checkRoom() {
+// checkCapacity checks that each gate is open unless its target drains, has all its capacity
+// free, and has no runs.
+func (r *restartPlay) checkCapacity() {
 	r.t.Helper()
 	for _, a := range r.agents {
 		d := a.running().driver
 		const asker = "asker~1"
 		if !d.Connect(asker, 1, func() {}) {
-			r.t.Errorf("%s takes no link", a.name)
+			r.t.Errorf("%s accepts no link", a.name)
 			continue
 		}
 		f, _ := d.Flush(asker, 1)
-		leaves := !r.leaving[a.target.newest()].IsZero()
-		if f.Report.Open == leaves || f.Report.Free != f.Report.Capacity || len(f.States) > 0 {
-			r.t.Errorf("%s: open %v, leaves %v, %+v of %+v free, %d runs; life %v", a.name, f.Report.Open, leaves, f.Report.Free, f.Report.Capacity, len(f.States), a.target.life())
+		drains := !r.draining[a.target.newest()].IsZero()
+		if f.Report.Open == drains || f.Report.Free != f.Report.Capacity || len(f.States) > 0 {
+			r.t.Errorf("%s: open %v, draining %v, %+v of %+v free, %d runs; target %v", a.name, f.Report.Open, drains, f.Report.Free, f.Report.Capacity, len(f.States), a.target.life())
 		}
 	}
 }
--- a/node/seek.go
+++ b/node/seek.go
@@ -15,49 +15,47 @@
 	"rackspur/rpc"
 )
 
-// Bounds of the search of a gate for owners. The entry boxes that a gate belongs to
-// may all be lost at once; the rest do not know that, since each knows its own links
-// only.
+// Limits of a gate's search for owners. All entry boxes that are linked to a gate may be
+// lost at once, which the others do not notice, since each knows its own links only.
 const (
-	// leastOwners is how many owners a gate wants: with fewer a single loss can
-	// leave its target without work.
-	leastOwners = 3
-	// seekPause is the time between two looks. After a restart of all boxes links
-	// are back within a second.
+	// minOwners is how many owners a gate should have: with fewer, a single loss can leave
+	// its target without work.
+	minOwners = 3
+	// seekPause is the pause between two checks. After a restart of all boxes, links are
+	// restored within a second.
 	seekPause = 2 * time.Second
-	// mostSeekPause is the longest pause while all entry boxes that answer are
-	// linked.
-	mostSeekPause = 30 * time.Second
+	// maxSeekPause is the longest pause while no further entry box answers.
+	maxSeekPause  = 30 * time.Second
 	inviteTimeout = 400 * time.Millisecond
-	// entriesDrawn is how many entry boxes are looked at: enough for three that answer
-	// where four of five are lost.
-	entriesDrawn = 16
+	// entriesSampled is how many entry boxes are read: enough to find three that answer when
+	// four in five are lost.
+	entriesSampled = 16
 )
 
-// linkedGate is the gate that owners are sought for.
+// linkedGate is a gate that needs owners.
 type linkedGate interface {
-	// LinkedOwners returns the lives of the owners that are linked.
+	// LinkedOwners returns the incarnations of the linked owners.
 	LinkedOwners() []string
 }
 
-// ownerSeeker asks entry boxes for links while a gate has few.
+// ownerSeeker invites entry boxes to link to a gate that has too few owners.
 type ownerSeeker struct {
 	store   rowstore.Store
 	gate    linkedGate
 	box     member.Box
 	metrics *observe.Metrics
-	// unreadable is told of rows of boxes that can't be read; it may be nil.
+	// unreadable records rows of boxes that can't be decoded; it may be nil.
 	unreadable *observe.Unreadable
 	log        logr.Logger
 }
 
-// run looks at the gate's links until the context ends.
+// run checks the gate's links until the context ends.
 func (s *ownerSeeker) run(ctx context.Context) {
 	pause := seekPause
 	for ctx.Err() == nil {
 		wait.For(ctx, pause)
 		linked := s.gate.LinkedOwners()
-		if len(linked) >= leastOwners {
+		if len(linked) >= minOwners {
 			pause = seekPause
 			continue
 		}
@@ -65,26 +63,25 @@
 			pause = seekPause
 			continue
 		}
-		pause = min(2*pause, mostSeekPause)
+		pause = min(2*pause, maxSeekPause)
 	}
 }
 
-// seek invites as many entry boxes as owners are missing, and returns how many have
-// answered.
+// seek invites entry boxes until the gate has minOwners, and returns how many accepted.
 func (s *ownerSeeker) seek(ctx context.Context, linked []string) (invited int) {
 	readCtx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	boxes, err := member.SomeEntries(readCtx, s.store, entriesDrawn, s.unreadable)
+	boxes, err := member.SomeEntries(readCtx, s.store, entriesSampled, s.unreadable)
 	if err != nil {
 		s.log.Info("Entry boxes not read; the gate has few owners.", "owners", len(linked), "error", err.Error())
 		return 0
 	}
-	for _, d := range unlinkedEntries(boxes, linked) {
-		if len(linked)+invited >= leastOwners || ctx.Err() != nil {
+	for _, b := range unlinkedEntries(boxes, linked) {
+		if len(linked)+invited >= minOwners || ctx.Err() != nil {
 			break
 		}
-		if err := s.invite(ctx, d); err != nil {
-			s.log.V(1).Info("Entry box not invited.", "entry", d.Node, "error", err.Error())
+		if err := s.invite(ctx, b); err != nil {
+			s.log.V(1).Info("Entry box not invited.", "entry", b.Node, "error", err.Error())
 			continue
 		}
 		invited++
@@ -95,25 +92,25 @@
 	return invited
 }
 
-// unlinkedEntries returns the entry boxes without a link, in random order.
+// unlinkedEntries returns the entry boxes that are not linked, in random order.
 func unlinkedEntries(boxes []member.Box, linked []string) []member.Box {
 	has := map[string]bool{}
-	for _, life := range linked {
-		has[member.NodeOf(life)] = true
+	for _, incarnation := range linked {
+		has[member.NodeOf(incarnation)] = true
 	}
 	var rest []member.Box
-	for _, d := range boxes {
-		if d.Role == member.RoleEntry && !has[d.Node] {
-			rest = append(rest, d)
+	for _, b := range boxes {
+		if b.Role == member.RoleEntry && !has[b.Node] {
+			rest = append(rest, b)
 		}
 	}
 	rand.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
 	return rest
 }
 
-// invite asks an entry box for a link to this gate.
-func (s *ownerSeeker) invite(ctx context.Context, d member.Box) error {
-	conn, err := rpc.Dial(d.Address, s.metrics)
+// invite asks an entry box to link to this gate.
+func (s *ownerSeeker) invite(ctx context.Context, b member.Box) error {
+	conn, err := rpc.Dial(b.Address, s.metrics)
 	if err != nil {
 		return err
 	}
--- a/node/seek_test.go
+++ b/node/seek_test.go
@@ -13,15 +13,15 @@
 	"rackspur/rpc"
 )
 
-// A gate whose owners are gone gets links to the entry boxes that are left, also if
-// none of them has it in its share; those that are gone for good cost a try only.
+// A gate that has lost its owners gets links to the remaining entry boxes, even if none of
+// them would link to it otherwise. Entry boxes that are gone are skipped.
 func TestGateWithoutOwnersInvites(t *testing.T) {
 	c := newIdleCluster(t, 2, 1, quickWork)
 	gone := member.Box{Node: "entry-gone", Role: member.RoleEntry, Address: "127.0.0.1:1", Incarnation: "entry-gone~a"}
 	member.Register(t.Context(), c.store, gone, logr.Discard())
 	s := &ownerSeeker{store: c.store, box: member.Box{Node: "agent-lonely", Address: "127.0.0.1:2", Incarnation: "agent-lonely~a"}, metrics: observe.NewMetrics(), log: logr.Discard()}
 	if n := s.seek(t.Context(), nil); n != 2 {
-		t.Errorf("%d entry boxes invited, want both that live", n)
+		t.Errorf("%d entry boxes invited, want the 2 that run", n)
 	}
 	for i := range 2 {
 		c.until("the invited gate is known", func() bool { return c.entry(i).current.Load().owner.Knows("agent-lonely") })
@@ -32,7 +32,8 @@
 	}
 }
 
-// While the store serves nobody no entry box is known; the search goes on after that.
+// The search for owners finds no entry box while the store is unavailable, and succeeds
+// after that.
 func TestSeekerOutage(t *testing.T) {
 	c := newIdleCluster(t, 1, 1, quickWork)
 	c.store.SetFault(func(rowstore.Call) rowstore.Fault { return rowstore.FaultRefuse })
@@ -46,7 +47,7 @@
 	}
 }
 
-// An agent takes no invitations.
+// An agent refuses invitations.
 func TestAgentRefusesInvitation(t *testing.T) {
 	c := newIdleCluster(t, 1, 1, quickWork)
 	conn, err := rpc.Dial(c.agents[0].box.box.Address, observe.NewMetrics())
@@ -55,6 +56,6 @@
 	}
 	defer conn.Close()
 	if _, err := peerpb.NewPeerClient(conn).Invite(context.Background(), &peerpb.Invitation{Node: "x"}); err == nil {
-		t.Error("an agent has taken an invitation")
+		t.Error("the agent accepted an invitation")
 	}
 }
--- a/node/takeover.go
+++ b/node/takeover.go
@@ -11,7 +11,7 @@
 	"rackspur/rowstore"
 )
 
-// watch takes over the jobs of lives that are over.
+// watch takes over the jobs of incarnations that have ended.
 func (t *term) watch() {
 	for t.ctx.Err() == nil {
 		over, err := t.watcher.Poll(t.ctx)
@@ -22,15 +22,15 @@
 	}
 }
 
-// takeOver takes over the jobs of lives. The gates are asked for the runs of all of them
-// first: a life may hold jobs that it has taken over from another.
+// takeOver takes over the jobs of ended incarnations. It first asks the gates for the runs
+// of all of them, since one may have taken over jobs from another.
 func (t *term) takeOver(over []member.Over) {
 	var fenced []member.Over
 	for _, o := range over {
-		if t.taking[o.Incarnation] || !t.fence(o) {
+		if t.adopting[o.Incarnation] || !t.fence(o) {
 			continue
 		}
-		t.taking[o.Incarnation] = true
+		t.adopting[o.Incarnation] = true
 		t.owner.StartAdoption([]string{o.Incarnation})
 		fenced = append(fenced, o)
 	}
@@ -39,68 +39,69 @@
 	}
 }
 
-// fence makes sure that a life writes nothing more; it returns false if that failed.
+// fence prevents further writes of an incarnation; it returns false on failure.
 func (t *term) fence(o member.Over) bool {
 	if o.Fenced {
 		return true
 	}
 	if err := t.watcher.Fence(t.ctx, o); err != nil {
-		t.log.Info("Life not fenced.", "life", o.Incarnation, "error", err.Error())
+		t.log.Info("Incarnation not fenced.", "life", o.Incarnation, "error", err.Error())
 		return false
 	}
 	return true
 }
 
-// adopt takes over the jobs of a fenced life.
+// adopt takes over the jobs of a fenced incarnation. Its row is deleted only when all
+// gates have reported its runs, so that another owner can still take over from this one.
 func (t *term) adopt(o member.Over) {
 	t.log.Info("Taking over.", "life", o.Incarnation)
 	if t.watcher.FenceParts(t.ctx, o.Incarnation) != nil {
 		return
 	}
-	if !t.knowBoxes() {
+	if !t.readMembership() {
 		return
 	}
-	lives := []string{o.Incarnation}
+	incarnations := []string{o.Incarnation}
 	from := o.At.Sub(t.entry.started)
-	jobs, ok := t.takeJobs(o.Incarnation)
+	jobs, ok := t.claimJobs(o.Incarnation)
 	if !ok {
 		return
 	}
-	told := t.owner.Adopt(lives, from, jobs)
+	reported := t.owner.Adopt(incarnations, from, jobs)
 	t.log.Info("Took over.", "life", o.Incarnation, "jobs", len(jobs))
 	select {
-	case <-told:
+	case <-reported:
 	case <-t.ctx.Done():
 		return
 	}
 	if err := t.watcher.Forget(t.ctx, o.Incarnation); err != nil {
-		t.log.Info("Row of a life not dropped.", "life", o.Incarnation, "error", err.Error())
+		t.log.Info("Row of an ended incarnation not deleted.", "life", o.Incarnation, "error", err.Error())
 	}
 }
 
-// knowBoxes reads the membership, so that every gate that the fenced life may
-// have used is asked for its runs.
-func (t *term) knowBoxes() bool {
+// readMembership reads the boxes from the store, so that every gate that the fenced
+// incarnation may have used is asked for its runs.
+func (t *term) readMembership() bool {
 	boxes, err := member.ReadBoxes(t.ctx, t.entry.store, t.entry.options.Unreadable)
 	if err != nil {
 		return false
 	}
-	for _, d := range boxes {
-		t.entry.found(d)
-		t.found(d)
+	for _, b := range boxes {
+		t.entry.found(b)
+		t.found(b)
 	}
 	return true
 }
 
-// takeJobs makes the jobs of a life this life's in the store.
-func (t *term) takeJobs(incarnation string) ([]owner.Adopted, bool) {
+// claimJobs makes this incarnation the owner of another one's jobs in the store.
+func (t *term) claimJobs(incarnation string) ([]owner.Adopted, bool) {
 	var taken []owner.Adopted
 	for part := range t.entry.options.Parts {
 		records, ok := t.readPart(part, incarnation)
 		if !ok {
 			return nil, false
 		}
-		adopted, ok := t.rewrite(part, records)
+		adopted, ok := t.changeOwner(part, records)
 		if !ok {
 			return nil, false
 		}
@@ -109,7 +110,7 @@
 	return taken, true
 }
 
-// readPart reads the jobs of a life in one part.
+// readPart reads the jobs of an incarnation from one part of the store.
 func (t *term) readPart(part int, incarnation string) ([]owner.Adopted, bool) {
 	rows, err := rowstore.ScanAll(t.ctx, t.entry.store, owner.TableJobs, []string{owner.PartName(part)})
 	if err != nil {
@@ -132,8 +133,9 @@
 	return found, true
 }
 
-// rewrite writes this life into the records of jobs.
-func (t *term) rewrite(part int, records []owner.Adopted) ([]owner.Adopted, bool) {
+// changeOwner writes this incarnation as the owner into job records. It returns the
+// records that were written.
+func (t *term) changeOwner(part int, records []owner.Adopted) ([]owner.Adopted, bool) {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	var taken []owner.Adopted
@@ -174,19 +176,22 @@
 	}
 }
 
-// answerForeign answers for ends of jobs that have ended under another life.
-func (t *term) answerForeign() {
+// resolveForeign resolves the ends of runs whose jobs this owner does not know, as their
+// records in the store say.
+func (t *term) resolveForeign() {
 	for t.ctx.Err() == nil {
 		for _, id := range t.owner.TakeForeign() {
 			ctx, cancel := context.WithTimeout(t.ctx, readTimeout)
-			t.judgeForeign(ctx, id)
+			t.resolveForeignEnd(ctx, id)
 			cancel()
 		}
 		wait.For(t.ctx, pollPause)
 	}
 }
 
-func (t *term) judgeForeign(ctx context.Context, id job.ID) {
+// resolveForeignEnd resolves the ends of the runs of one unknown job. A job with a record
+// has not ended: its owner resolves them.
+func (t *term) resolveForeignEnd(ctx context.Context, id job.ID) {
 	record, err := t.entry.readRecord(ctx, id)
 	if err != nil {
 		return
--- a/node/term.go
+++ b/node/term.go
@@ -16,31 +16,31 @@
 	"rackspur/rowstore"
 )
 
-// term is one life of an entry box's owner.
+// term is one incarnation of an entry box's owner.
 type term struct {
 	entry *Entry
 	box   member.Box
-	life  *member.Life
+	lease *member.Life
 	owner *owner.Owner
 	links *peer.Links
 	fleet *peer.Fleet
-	// writers are there once the life stands in the store.
+	// writers has a committer for each part; nil until the lease is acquired.
 	writers atomic.Pointer[[]*rowstore.Committer]
 	watcher *member.Watcher
 	log     logr.Logger
 	ctx     context.Context
-	// end ends the life.
+	// end cancels ctx.
 	end     context.CancelFunc
 	endOnce sync.Once
 
-	// lifeNeeded is poked once jobs are kept in this deployment, begun is closed
-	// once the life stands in the store.
-	lifeNeeded chan struct{}
-	begun      chan struct{}
+	// leaseRequested is signalled when the incarnation needs its lease; leaseAcquired is
+	// closed once it holds it.
+	leaseRequested chan struct{}
+	leaseAcquired  chan struct{}
 
 	renewMu  sync.Mutex
 	released bool
-	taking   map[string]bool
+	adopting map[string]bool
 }
 
 func (e *Entry) newTerm(ctx context.Context, incarnation string) *term {
@@ -50,9 +50,9 @@
 		parts = append(parts, owner.PartName(i))
 	}
 	t := &term{
-		entry: e, box: box, log: e.log, taking: map[string]bool{},
-		lifeNeeded: make(chan struct{}, 1), begun: make(chan struct{}),
-		life:    member.NewLife(e.store, parts, box),
+		entry: e, box: box, log: e.log, adopting: map[string]bool{},
+		leaseRequested: make(chan struct{}, 1), leaseAcquired: make(chan struct{}),
+		lease:   member.NewLife(e.store, parts, box),
 		watcher: member.NewWatcher(e.store, parts, box, e.started, e.options.Unreadable),
 	}
 	t.ctx, t.end = context.WithCancel(ctx)
@@ -62,8 +62,7 @@
 	return t
 }
 
-// Add implements owner.Writer.Add. Nothing is written before the life stands in
-// the store, since its lease does not hold before.
+// Add implements owner.Writer.Add. The owner writes nothing before the lease is acquired.
 func (t *term) Add(part int, w *rowstore.Write) { (*t.writers.Load())[part].Add(w) }
 
 // Withdraw implements owner.Writer.Withdraw.
@@ -76,38 +75,39 @@
 	return (*t.writers.Load())[part].FailingFor(time.Now())
 }
 
-// begin writes the life into the store; jobs that are kept are taken from then on.
-func (t *term) begin() bool {
-	sent, err := t.life.Begin(t.ctx)
+// acquireLease stores the incarnation with its lease. From then on durable jobs are
+// accepted.
+func (t *term) acquireLease() bool {
+	sent, err := t.lease.Begin(t.ctx)
 	if err != nil {
 		return false
 	}
 	var writers []*rowstore.Committer
 	for i := range t.entry.options.Parts {
-		w := rowstore.NewCommitter(t.entry.store, t.life.Fence(i), commitDelay, t.fenced)
+		w := rowstore.NewCommitter(t.entry.store, t.lease.Fence(i), commitDelay, t.fenced)
 		writers = append(writers, w)
 		go w.Run(t.ctx)
 	}
 	t.writers.Store(&writers)
 	t.renewed(sent)
-	close(t.begun)
-	t.log.Info("Life begun.", "incarnation", t.box.Incarnation)
+	close(t.leaseAcquired)
+	t.log.Info("Lease acquired.", "incarnation", t.box.Incarnation)
 	return true
 }
 
-// found takes in a box of the membership.
-func (t *term) found(d member.Box) {
-	if d.Role == member.RoleAgent {
-		t.owner.AddGate(d.Node, d.Zone)
+// found handles a new or changed box of the membership.
+func (t *term) found(b member.Box) {
+	if b.Role == member.RoleAgent {
+		t.owner.AddGate(b.Node, b.Zone)
 	}
-	t.fleet.Found(d)
+	t.fleet.Found(b)
 	t.owner.SetEntries(t.fleet.Entries())
 }
 
-// fenced ends the life: another box may have taken its jobs.
+// fenced ends the incarnation: another box may have taken over its jobs.
 func (t *term) fenced() {
 	t.endOnce.Do(func() {
-		t.log.Info("Life fenced by another box.", "incarnation", t.box.Incarnation)
+		t.log.Info("Incarnation fenced by another box.", "incarnation", t.box.Incarnation)
 		t.owner.End()
 		t.end()
 	})
@@ -117,12 +117,12 @@
 	t.owner.Renewed(sent.Add(member.Lease).Sub(t.entry.started))
 }
 
-// run serves the life until it ends.
+// run runs the incarnation until it ends.
 func (t *term) run(ctx context.Context) {
 	defer t.end()
-	go t.serveKept()
+	go t.serveDurable()
 	go t.fleet.Run(t.ctx)
-	go t.answerForeign()
+	go t.resolveForeign()
 	for ctx.Err() == nil && t.ctx.Err() == nil {
 		pause := calmPause
 		if t.owner.Waiting() {
@@ -133,17 +133,17 @@
 	}
 }
 
-// serveKept does what jobs that are kept need: the life in the store, its lease,
-// the take-over of the jobs of other lives.
-func (t *term) serveKept() {
-	if !t.awaitNeed() || !t.begin() {
+// serveDurable does the work that durable jobs require: it acquires and renews the lease
+// and takes over the jobs of ended incarnations.
+func (t *term) serveDurable() {
+	if !t.awaitLeaseRequest() || !t.acquireLease() {
 		return
 	}
 	go t.renew()
 	t.watch()
 }
 
-// renew renews the lease until the life ends.
+// renew renews the lease until the incarnation ends.
 func (t *term) renew() {
 	for {
 		wait.For(t.ctx, member.RenewPause)
@@ -160,7 +160,7 @@
 	if t.released {
 		return
 	}
-	sent, err := t.life.Renew(t.ctx, t.owner.PendingByQueue())
+	sent, err := t.lease.Renew(t.ctx, t.owner.PendingByQueue())
 	switch {
 	case err == nil:
 		t.renewed(sent)
@@ -171,7 +171,8 @@
 	}
 }
 
-// release ends the life by itself: other boxes take over at once.
+// release ends the incarnation and releases its lease, so that other boxes take over
+// without waiting for it to expire.
 func (t *term) release() {
 	t.renewMu.Lock()
 	defer t.renewMu.Unlock()
@@ -183,8 +184,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	if err := t.life.Release(ctx); err != nil {
-		t.log.Info("Life not released.", "error", err.Error())
+	if err := t.lease.Release(ctx); err != nil {
+		t.log.Info("Lease not released.", "error", err.Error())
 	}
 	t.end()
 }
--- a/node/virtual_test.go
+++ b/node/virtual_test.go
@@ -20,77 +20,75 @@
 	"rackspur/owner"
 )
 
-// This file holds a site in virtual time: real owners, gates and their drivers around
-// stand-in executors, with links in memory. It runs in a bubble of testing/synctest.
+// This file simulates a site in virtual time, in a bubble of testing/synctest: real
+// owners, gates and drivers with stand-in targets and in-memory links.
 //
-// What it leaves out: gRPC, links through a peer, the doubt of a link that is busy
-// (a link ends after linkFrameTimeout without a frame only), the take-over of jobs
-// that are kept. A frozen agent makes no call and takes no frame, but its gate's ticks
-// go on: on waking its stops and lapses are up to the freeze's length further than
-// those of a real one.
+// Not simulated are gRPC, links through a peer, the early end of a busy link (links end
+// only after linkFrameTimeout without a frame), and the takeover of durable jobs. A frozen
+// agent makes no calls and receives no frames, but its gate keeps ticking, so after a
+// freeze its stops and lapses are further ahead than those of a real one.
 //
-// What happens at one moment of virtual time happens in any order, so boxes and links
-// do their regular things at moments of their own.
+// Events at the same virtual time happen in any order, so the periodic events of boxes
+// and links have different offsets.
 
 // Times of the site.
 const (
-	// targetClock is how fast an executor's clock runs, in percent: PROTOCOL.md allows
+	// targetClock is the speed of a target's clock in percent; PROTOCOL.md allows it to be
 	// 2% slow.
 	targetClock = 98
-	// callLatency is the time that an executor takes to answer; half of the starts
-	// are answered within 2 ms (see gate's leastRTO).
+	// callLatency is how long a target takes to answer a call.
 	callLatency = 900 * time.Microsecond
-	// executorBeat is the time between two heartbeats of an executor.
-	executorBeat = 300 * time.Millisecond
-	// firstBeat is when an agent has the first heartbeat after its start: well after
-	// its first calls, so that these go the same way each time.
-	firstBeat = 41 * time.Millisecond
-	// recallLatency is how long a restarted agent takes to read what its executor is
-	// like from the store.
-	recallLatency = 7 * time.Millisecond
-	// settleTime is how long links, holds and reports get before a job is handed in,
-	// and the job before the trouble. It falls between the ticks of the boxes.
+	// targetHeartbeat is the time between two heartbeats of a target.
+	targetHeartbeat = 300 * time.Millisecond
+	// firstHeartbeat is the time from an agent's start to the first heartbeat that it gets:
+	// well after its first calls, so that these are deterministic.
+	firstHeartbeat = 41 * time.Millisecond
+	// restoreLatency is how long a restarted agent takes to read its target's description
+	// from the store.
+	restoreLatency = 7 * time.Millisecond
+	// settleTime is how long a site runs before a job is submitted, and the job before the
+	// first fault. It is no multiple of the boxes' tick pauses.
 	settleTime = 1013 * time.Millisecond
-	// taskTime is how long a task works: longer than all bounds together.
+	// taskTime is the run time of a task, longer than all time limits together.
 	taskTime = 6800 * time.Millisecond
 )
 
-// logVariable has the agents' log lines printed.
+// logVariable is the environment variable that enables the agents' log.
 const logVariable = "RACKSPUR_VIRTUAL_LOG"
 
-// virtualSite is a site of a few boxes.
+// virtualSite is a simulated site of a few boxes.
 type virtualSite struct {
 	t       *testing.T
 	ctx     context.Context
 	bounds  virtualBounds
 	agents  []*agentBox
 	entries []*entryBox
-	// begun is when the site was made.
-	begun time.Time
-	// log is that of the agents; the lines are told with the times of the trouble.
+	// started is when the site was started.
+	started time.Time
+	// log is the agents' logger; its lines have times relative to trouble.
 	log logr.Logger
-	// trouble is the time from which a test counts.
+	// trouble is the time of the first fault, which event times are relative to.
 	trouble time.Time
 }
 
 // inBubble runs a test with a site of two entry boxes and three agents in virtual time,
-// under the usual bounds.
+// under the default bounds.
 func inBubble(t *testing.T, test func(s *virtualSite)) {
 	t.Helper()
-	inBubbleWith(t, usualBounds, test)
+	inBubbleWith(t, defaultBounds, test)
 }
 
-// inBubbleWith is inBubble under bounds of its own.
+// inBubbleWith is inBubble with the given bounds.
 func inBubbleWith(t *testing.T, bounds virtualBounds, test func(s *virtualSite)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() {
 			cancel()
-			// What is under way ends before the bubble does.
+			// Let goroutines exit before the bubble ends.
 			wait.For(context.Background(), time.Second)
 		}()
-		s := &virtualSite{t: t, ctx: ctx, bounds: bounds, begun: time.Now(), log: logr.Discard()}
+		s := &virtualSite{t: t, ctx: ctx, bounds: bounds, started: time.Now(), log: logr.Discard()}
 		if os.Getenv(logVariable) != "" {
 			s.log = funcr.New(func(prefix, args string) {
 				t.Logf("%.3f %s %s", time.Since(s.trouble).Seconds(), prefix, args)
@@ -107,14 +105,14 @@
 	})
 }
 
-// event is something that a test does at a time after the trouble's beginning.
+// event is an action at a time relative to the first fault.
 type event struct {
 	at time.Duration
 	do func()
 }
 
-// play does the events in the order of their times, then lets the site run until so
-// long after the trouble's beginning.
+// play executes the events in the order of their times, and lets the site run until the
+// given time after the first fault.
 func (s *virtualSite) play(until time.Duration, events ...event) {
 	slices.SortStableFunc(events, func(a, b event) int { return int(a.at - b.at) })
 	s.trouble = time.Now().Add(max(0, -events[0].at))
@@ -124,7 +122,7 @@
 	}
 }
 
-// valve lets nothing through while it is shut.
+// valve blocks callers of pass while it is shut.
 type valve struct {
 	mu sync.Mutex
 	// opened is closed when the valve opens; nil while it is open.
@@ -154,7 +152,7 @@
 	return ok
 }
 
-// passed is as pass and says whether the valve was shut.
+// passed is like pass and also reports whether the valve was shut.
 func (v *valve) passed(ctx context.Context) (waited, ok bool) {
 	for {
 		v.mu.Lock()
@@ -172,17 +170,17 @@
 	}
 }
 
-// virtualJob is the job of three tasks that tests hand in.
+// virtualJob returns a job of three tasks.
 func virtualJob(bestEffort bool) job.Submission {
 	s := testJob(1, 3, bestEffort)
 	s.Steps[0].EstimateMS = int(taskTime.Milliseconds())
 	return s
 }
 
-// handIn hands a job in at the first entry box and, the time for that after its answer
-// was lost, at the second. It returns when the tasks run; leave makes the caller give up
-// its first call.
-func (s *virtualSite) handIn() (leave context.CancelFunc) {
+// submitBestEffort submits a best-effort job to the first entry box and, if its answer is
+// lost, resubmits it to the second. It returns when the tasks run; leave cancels the
+// caller's first call.
+func (s *virtualSite) submitBestEffort() (leave context.CancelFunc) {
 	s.t.Helper()
 	j := virtualJob(true)
 	ctx, leave := context.WithCancel(s.ctx)
@@ -197,9 +195,9 @@
 	return leave
 }
 
-// handInKept hands a job that is kept in at the first entry box and returns when its
-// tasks run.
-func (s *virtualSite) handInKept() {
+// submitDurable submits a durable job to the first entry box and returns when its tasks
+// run.
+func (s *virtualSite) submitDurable() {
 	s.t.Helper()
 	result := make(chan owner.SubmitResult, 1)
 	s.entries[0].owner.Submit(virtualJob(false), func(r owner.SubmitResult) { result <- r })
@@ -209,12 +207,12 @@
 	s.awaitRuns()
 }
 
-// awaitRuns waits until the tasks of the job run.
+// awaitRuns waits until the three tasks of the job run.
 func (s *virtualSite) awaitRuns() {
 	s.t.Helper()
 	wait.For(s.ctx, settleTime)
 	if n := len(s.spans()); n != 3 {
-		s.t.Fatalf("%d runs before the trouble, want 3", n)
+		s.t.Fatalf("%d runs before the first fault, want 3", n)
 	}
 }
 
@@ -222,7 +220,7 @@
 type targetSpan struct {
 	standin.Span
 	target string
-	// ended is when it ended, or now if it has not.
+	// ended is when the run ended, or the present time if it is active.
 	ended time.Time
 }
 
@@ -243,11 +241,11 @@
 	return all
 }
 
-// endNames are words for the ends of runs.
+// endNames has names for the ends of runs.
 var endNames = map[gate.EndKind]string{gate.EndDone: "done", gate.EndFailed: "failed", gate.EndStopped: "stopped", gate.EndLapsed: "lapsed"}
 
-// tell describes a run with its times since the trouble began.
-func (s *virtualSite) tell(x targetSpan) string {
+// describe returns a description of a run, with times relative to the first fault.
+func (s *virtualSite) describe(x targetSpan) string {
 	end := "still works at"
 	if x.End != 0 {
 		end = endNames[x.End] + " at"
@@ -256,8 +254,8 @@
 		x.Started.Sub(s.trouble).Seconds(), end, x.ended.Sub(s.trouble).Seconds())
 }
 
-// checkOneAtATime checks that no two runs of a task were at work at one time, and that
-// tasks were started again at all, so that the check says something.
+// checkOneAtATime checks that no two runs of a task were active at the same time. It fails
+// if no task was started again, since the test shows nothing then.
 func (s *virtualSite) checkOneAtATime() {
 	s.t.Helper()
 	all := s.spans()
@@ -269,11 +267,11 @@
 			}
 			again[later.Name.TaskName] = true
 			if both := min(earlier.ended.Sub(later.Started), later.ended.Sub(later.Started)); both > 0 {
-				s.t.Errorf("two runs at one time for %v: %s; %s", both, s.tell(earlier), s.tell(later))
+				s.t.Errorf("two runs at the same time for %v: %s; %s", both, s.describe(earlier), s.describe(later))
 			}
 		}
 	}
 	if len(again) == 0 {
-		s.t.Error("no task was started again: the sequence shows nothing")
+		s.t.Error("no task was started again: the test is inconclusive")
 	}
 }
--- a/node/virtualagent_test.go
+++ b/node/virtualagent_test.go
@@ -10,31 +10,31 @@
 	"rackspur/internal/wait"
 )
 
-// agentBox is a box with an agent beside an executor.
+// agentBox is a simulated agent with its target.
 type agentBox struct {
 	site   *virtualSite
 	name   string
 	target *virtualTarget
 	// awake is shut while the agent's process is frozen.
 	awake valve
-	// operator is who evacuates failure domains; nil in most tests.
+	// operator evacuates failure domains; nil in most tests.
 	operator *virtualOperator
 
 	mu      sync.Mutex
 	count   int
 	process *agentProcess
-	// described is what the store keeps of the executor; nil for what is true.
-	described *gate.Description
+	// stored is the stored description of the target; nil for an accurate one.
+	stored *gate.Description
 }
 
-// agentProcess is one process of an agent.
+// agentProcess is a process of an agent.
 type agentProcess struct {
 	driver *gate.Driver
 	ctx    context.Context
 	kill   context.CancelFunc
 
 	mu sync.Mutex
-	// wakes has what wakes the links; see gate.Driver.OnReport.
+	// wakes has a function for each link that wakes it; see gate.Driver.OnReport.
 	wakes map[*virtualLink]func()
 }
 
@@ -62,20 +62,19 @@
 		b.operator.watch(b, p)
 	}
 	go p.driver.Run(p.ctx)
-	go b.beat(p)
+	go b.sendHeartbeats(p)
 	if b.count > 1 {
 		go func() {
-			wait.For(p.ctx, recallLatency)
-			p.driver.Recall(b.known())
+			wait.For(p.ctx, restoreLatency)
+			p.driver.Recall(b.storedDescription())
 		}()
 	}
 }
 
-// known is what the store keeps of the executor: its newest life, unless a test has set
-// what was written last.
-func (b *agentBox) known() gate.Description {
+// storedDescription returns the stored description of the target.
+func (b *agentBox) storedDescription() gate.Description {
 	b.mu.Lock()
-	described := b.described
+	described := b.stored
 	b.mu.Unlock()
 	if described != nil {
 		return *described
@@ -84,11 +83,11 @@
 	return gate.Description{Life: b.target.life(), Service: testService, Capacity: e.Capacity, Draining: e.Draining()}
 }
 
-// keepDescription has the store keep a description from now on; nil for what is true.
-func (b *agentBox) keepDescription(d *gate.Description) {
+// storeDescription sets the stored description of the target; nil for an accurate one.
+func (b *agentBox) storeDescription(d *gate.Description) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.described = d
+	b.stored = d
 }
 
 func (b *agentBox) running() *agentProcess {
@@ -97,25 +96,25 @@
 	return b.process
 }
 
-// kill ends the agent's process without a word; what its executor runs goes on.
+// kill kills the agent's process; its target keeps running.
 func (b *agentBox) kill() { b.running().kill() }
 
-// beat passes the executor's heartbeats on.
-func (b *agentBox) beat(p *agentProcess) {
-	wait.For(p.ctx, firstBeat)
+// sendHeartbeats passes the target's heartbeats to a process of the agent.
+func (b *agentBox) sendHeartbeats(p *agentProcess) {
+	wait.For(p.ctx, firstHeartbeat)
 	for b.awake.pass(p.ctx) {
 		if beat, ok := b.target.newest().Beat(); ok {
 			p.driver.Heartbeat(heartbeatOf(beat))
 		}
-		wait.For(p.ctx, executorBeat)
+		wait.For(p.ctx, targetHeartbeat)
 	}
 }
 
-// heartbeatOf is a stand-in's heartbeat as the gate takes it in.
+// heartbeatOf converts a stand-in's heartbeat for the gate.
 func heartbeatOf(b standin.Beat) gate.Heartbeat {
 	return gate.Heartbeat{
 		Life: gate.Life{ID: b.Life, Born: b.Born}, Service: testService, Capacity: b.Capacity,
-		Draining: b.Draining, ClockMS: told(b.ClockMS), Sequence: b.Sequence,
+		Draining: b.Draining, ClockMS: toTargetClock(b.ClockMS), Sequence: b.Sequence,
 	}
 }
 
@@ -127,7 +126,7 @@
 	}
 }
 
-// join has a link woken when there is a new report, until it leaves.
+// join makes new reports wake a link until leave is called.
 func (p *agentProcess) join(l *virtualLink, wake func()) (leave func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,10 +138,10 @@
 	}
 }
 
-// agentCalls are the calls of an agent to its executor.
+// agentCalls makes the calls of an agent to its target.
 type agentCalls struct{ box *agentBox }
 
-// call makes a call; it is neither sent nor answered while the agent is frozen.
+// call makes a call. It is neither sent nor answered while the agent is frozen.
 func (c *agentCalls) call(ctx context.Context, f func() error) error {
 	if !c.box.awake.pass(ctx) {
 		return gate.ErrUnanswered
@@ -182,7 +181,7 @@
 	return answerOf(a, err), lists, err
 }
 
-// answerOf is an answer, or none if the call got none.
+// answerOf returns the answer of a call, or an empty one if there was none.
 func answerOf(a gate.Answer, err error) gate.Answer {
 	if err == gate.ErrUnanswered {
 		return gate.Answer{}
--- a/node/virtualentry_test.go
+++ b/node/virtualentry_test.go
@@ -16,16 +16,16 @@
 	"rackspur/rowstore"
 )
 
-// entryBox is a box with an entry box's owner.
+// entryBox is a simulated entry box with a real owner.
 type entryBox struct {
-	site  *virtualSite
-	name  string
-	owner *owner.Owner
-	life  string
-	ctx   context.Context
-	// kill ends the box: its links and its callers' connections break.
+	site        *virtualSite
+	name        string
+	owner       *owner.Owner
+	incarnation string
+	ctx         context.Context
+	// kill kills the box: its links and its callers' connections break.
 	kill context.CancelFunc
-	// awake is shut while the box is frozen, callers while it is cut off from its
+	// awake is shut while the box is frozen; callers is shut while it is cut off from its
 	// callers.
 	awake, callers valve
 	paths          []*path
@@ -35,13 +35,12 @@
 	links uint64
 }
 
-// delays are how late an entry box is with things.
+// delays are the delays of an entry box.
 type delays struct {
-	// After a freeze timers go off so much later, and frames that have waited are
-	// read so much later: the box may do either first.
+	// timers and frames are the delays of due timers and of waiting frames after a freeze;
+	// either may come first.
 	timers, frames time.Duration
-	// notice is how long after the box could hear of it it learns that a caller
-	// has left.
+	// notice is how long it takes the box to learn that a caller has left.
 	notice time.Duration
 }
 
@@ -59,12 +58,12 @@
 
 func newEntryBox(s *virtualSite, i int) *entryBox {
 	name := fmt.Sprintf("entry-%d", i)
-	b := &entryBox{site: s, name: name, life: name + "~1", late: delays{notice: linkLatency}}
+	b := &entryBox{site: s, name: name, incarnation: name + "~1", late: delays{notice: linkLatency}}
 	b.ctx, b.kill = context.WithCancel(s.ctx)
 	o := s.bounds.options(name)
-	o.Policy = placesInTurn{first: i}
+	o.Policy = fixedOrder{first: i}
 	e := &Entry{started: time.Now(), log: logr.Discard(), options: o}
-	b.owner = owner.New(e.ownerOptions(b.life), sureWriter{})
+	b.owner = owner.New(e.ownerOptions(b.incarnation), instantWriter{})
 	for _, a := range s.agents {
 		p := &path{}
 		b.paths = append(b.paths, p)
@@ -76,16 +75,16 @@
 	return b
 }
 
-// placesInTurn is a policy that places by room, and by the order of names among
-// targets with as much of it: what is built in draws lots. Each entry box begins with
-// another target, so that the tasks of a job that comes again go to other targets.
-type placesInTurn struct{ first int }
+// fixedOrder is a policy that places tasks at the target with the most free capacity, and
+// breaks ties in a fixed order; the built-in policy breaks them at random. Each entry box
+// starts with another target, so that a resubmitted job goes to other targets.
+type fixedOrder struct{ first int }
 
 // Admit implements owner.Policy.Admit.
-func (placesInTurn) Admit(dispatch.JobView) dispatch.Verdict { return dispatch.Verdict{Admit: true} }
+func (fixedOrder) Admit(dispatch.JobView) dispatch.Verdict { return dispatch.Verdict{Admit: true} }
 
 // Place implements owner.Policy.Place.
-func (p placesInTurn) Place(_ dispatch.JobView, targets []dispatch.TargetView) dispatch.Plan {
+func (p fixedOrder) Place(_ dispatch.JobView, targets []dispatch.TargetView) dispatch.Plan {
 	best := p.first % len(targets)
 	for i := range targets {
 		next := (p.first + i) % len(targets)
@@ -96,19 +95,19 @@
 	return dispatch.Plan{Start: []dispatch.Share{{Target: best, N: 1}}}
 }
 
-// sureWriter brings every write into a store that holds nothing else.
-type sureWriter struct{}
+// instantWriter completes every write at once.
+type instantWriter struct{}
 
 // Add implements owner.Writer.Add.
-func (sureWriter) Add(_ int, w *rowstore.Write) { go w.Done(rowstore.Outcome{Version: 1}, nil) }
+func (instantWriter) Add(_ int, w *rowstore.Write) { go w.Done(rowstore.Outcome{Version: 1}, nil) }
 
 // Withdraw implements owner.Writer.Withdraw.
-func (sureWriter) Withdraw(int, *rowstore.Write) bool { return false }
+func (instantWriter) Withdraw(int, *rowstore.Write) bool { return false }
 
 // FailingFor implements owner.Writer.FailingFor.
-func (sureWriter) FailingFor(int) time.Duration { return 0 }
+func (instantWriter) FailingFor(int) time.Duration { return 0 }
 
-// renew renews the owner's lease in the store.
+// renew renews the owner's lease.
 func (b *entryBox) renew(e *Entry) {
 	for b.awake.pass(b.ctx) {
 		b.owner.Renewed(time.Since(e.started) + member.Lease)
@@ -116,7 +115,7 @@
 	}
 }
 
-// tick looks at the owner's times as term.run does.
+// tick runs the owner's ticks as term.run does.
 func (b *entryBox) tick() {
 	for b.ctx.Err() == nil {
 		pause := calmPause
@@ -130,14 +129,14 @@
 	}
 }
 
-// passTimers waits until a timer of the box goes off that is due now: while it is
-// frozen none does. It returns false if the box was killed.
+// passTimers waits until a due timer of the box fires: not while it is frozen. It returns
+// false if the box was killed.
 func (b *entryBox) passTimers() bool { return b.pass(b.delays().timers) }
 
-// passFrames waits until the box can read a frame that has come.
+// passFrames waits until the box can read a frame that has arrived.
 func (b *entryBox) passFrames() bool { return b.pass(b.delays().frames) }
 
-// pass waits until the box is awake and, if it was frozen, so much longer.
+// pass waits until the box is awake and, if it was frozen, for an additional time.
 func (b *entryBox) pass(after time.Duration) bool {
 	waited, ok := b.awake.passed(b.ctx)
 	if waited && ok {
@@ -146,7 +145,7 @@
 	return ok && b.ctx.Err() == nil
 }
 
-// cut cuts the box off from its callers and from gates, in both directions.
+// cut cuts the box off from its callers and the gates, in both directions.
 func (b *entryBox) cut() {
 	b.callers.shut()
 	for _, p := range b.paths {
@@ -162,14 +161,14 @@
 	}
 }
 
-// run runs a job that is not kept for a caller, until the caller's context ends.
-// It returns false if the caller has got no answer, or one that it may have run.
+// run runs a best-effort job for a caller until the caller's context ends. It returns
+// false if the caller gets no answer, or the answer that the job may have run.
 func (b *entryBox) run(ctx context.Context, s job.Submission) bool {
 	result := make(chan owner.BestEffortResult, 1)
 	if !b.passFrames() {
 		return false
 	}
-	ticket := b.owner.RunBestEffort(s, defaultPatience, func(r owner.BestEffortResult) { result <- r })
+	ticket := b.owner.RunBestEffort(s, defaultCallTimeout, func(r owner.BestEffortResult) { result <- r })
 	select {
 	case r := <-result:
 		return r.State != "" || r.Refused
@@ -181,7 +180,7 @@
 	}
 }
 
-// leave tells the owner that a caller has left, once the box can hear of it.
+// leave tells the owner that a caller has left, once the box can learn of it.
 func (b *entryBox) leave(id job.ID, ticket uint64) {
 	if !b.callers.pass(b.ctx) || !b.awake.pass(b.ctx) {
 		return
--- a/node/virtuallink_test.go
+++ b/node/virtuallink_test.go
@@ -9,10 +9,10 @@
 	"rackspur/internal/wait"
 )
 
-// This file holds the links of the site in virtual time. They follow peer.Links at the
-// owner's end and peer.Server at the gate's.
+// This file simulates links. They follow peer.Links at the owner's end and peer.Server at
+// the gate's.
 
-// Times of links, those of package peer of the same names.
+// Times of links; the first ones have the values of constants of package peer.
 const (
 	linkHeartbeat         = 250 * time.Millisecond
 	linkIdleHeartbeat     = 2 * time.Second
@@ -25,18 +25,17 @@
 	linkMostBackoff       = 500 * time.Millisecond
 	linkQuickBackoff      = 100 * time.Millisecond
 	linkQuickFor          = time.Second
-	// linkLatency is the way from one box to another.
+	// linkLatency is the latency between two boxes.
 	linkLatency = 700 * time.Microsecond
-	// senderStart is how long the owner's sender takes to start after the first frame.
-	// Its beats then follow the gate's frames that come at the same distance, and never
-	// race them.
+	// senderStart is the time from the first frame to the start of the owner's sender. It
+	// keeps the owner's heartbeats from coinciding with the gate's.
 	senderStart = 300 * time.Microsecond
-	// frameBuffer is how many frames are under way at most.
+	// frameBuffer is the maximum number of frames in transit.
 	frameBuffer = 1000
 )
 
-// path is the way between an entry box and an agent's. While a direction is cut, what
-// is sent waits and nobody is told.
+// path is the network path between an entry box and an agent. While a direction is cut,
+// frames are held back and the sender does not notice.
 type path struct {
 	toGate, toOwner valve
 }
@@ -51,7 +50,7 @@
 	p.toOwner.open()
 }
 
-// sentFrame is a frame under way.
+// sentFrame is a frame in transit.
 type sentFrame[F any] struct {
 	at    time.Time
 	frame F
@@ -64,7 +63,7 @@
 	process *agentProcess
 	path    *path
 	number  uint64
-	// ctx is the link at the owner's end, gateCtx at the gate's.
+	// ctx ends with the owner's end of the link, gateCtx with the gate's.
 	ctx, gateCtx context.Context
 	end, gateEnd context.CancelFunc
 	toGate       chan sentFrame[gate.OwnerFrame]
@@ -72,11 +71,11 @@
 	wake         chan struct{}
 
 	mu sync.Mutex
-	// heard is when the owner last had a frame; zero before the first.
+	// heard is when the owner last received a frame; zero before the first.
 	heard time.Time
 }
 
-// keepLink makes links to an agent's gate, one after the other.
+// keepLink keeps a link to an agent's gate, with a new one after each that ends.
 func (b *entryBox) keepLink(a *agentBox, p *path) {
 	backoff := linkLeastBackoff
 	var lost time.Time
@@ -95,7 +94,7 @@
 	}
 }
 
-// link keeps one link until it ends; worked says whether it has brought a frame.
+// link runs one link until it ends and reports whether a frame was received.
 func (b *entryBox) link(a *agentBox, p *path) (worked bool) {
 	if !b.reaches(a, p) {
 		return false
@@ -105,9 +104,9 @@
 	if l.process.ctx.Err() != nil {
 		return false
 	}
-	context.AfterFunc(l.ctx, l.tellGate)
-	context.AfterFunc(l.gateCtx, l.tellOwner)
-	b.owner.LinkUp(a.name, l.number, pokerOf(l.wake))
+	context.AfterFunc(l.ctx, l.closeGateEnd)
+	context.AfterFunc(l.gateCtx, l.closeOwnerEnd)
+	b.owner.LinkUp(a.name, l.number, notifierOf(l.wake))
 	go l.serveGate()
 	go l.receiveFrames()
 	l.watch()
@@ -117,7 +116,7 @@
 	return !l.lastHeard().IsZero()
 }
 
-// reaches says whether a connection to an agent's box can be made.
+// reaches reports whether the box can connect to an agent.
 func (b *entryBox) reaches(a *agentBox, p *path) bool {
 	ctx, cancel := context.WithTimeout(b.ctx, linkFirstFrameTimeout)
 	defer cancel()
@@ -140,15 +139,15 @@
 	return l
 }
 
-// tellGate ends the gate's end of a link whose owner's end has ended.
-func (l *virtualLink) tellGate() {
+// closeGateEnd closes the gate's end of a link after the owner's.
+func (l *virtualLink) closeGateEnd() {
 	if l.path.toGate.pass(l.gateCtx) && l.agent.awake.pass(l.gateCtx) {
 		l.gateEnd()
 	}
 }
 
-// tellOwner ends the owner's end of a link whose gate's end has ended.
-func (l *virtualLink) tellOwner() {
+// closeOwnerEnd closes the owner's end of a link after the gate's.
+func (l *virtualLink) closeOwnerEnd() {
 	if l.path.toOwner.pass(l.ctx) && l.entry.awake.pass(l.ctx) {
 		l.end()
 	}
@@ -160,7 +159,7 @@
 	return l.heard
 }
 
-// watch ends the link when no frame has come for too long.
+// watch ends the link when no frame has arrived for too long.
 func (l *virtualLink) watch() {
 	due := time.Now().Add(linkFirstFrameTimeout)
 	for l.ctx.Err() == nil && time.Now().Before(due) {
@@ -175,7 +174,7 @@
 	l.end()
 }
 
-// receiveFrames brings the gate's frames to the owner; the first starts the sending.
+// receiveFrames passes the gate's frames to the owner; the first one starts the sender.
 func (l *virtualLink) receiveFrames() {
 	for f := range l.arrivals() {
 		if !l.entry.passFrames() || l.ctx.Err() != nil {
@@ -192,7 +191,7 @@
 	}
 }
 
-// arrivals gives the frames that have come to the owner's box.
+// arrivals yields the frames that arrive at the owner's box.
 func (l *virtualLink) arrivals() func(yield func(gate.Frame) bool) {
 	return func(yield func(gate.Frame) bool) {
 		for f, ok := arrival(l.ctx, l.toOwner, &l.path.toOwner); ok; f, ok = arrival(l.ctx, l.toOwner, &l.path.toOwner) {
@@ -203,7 +202,7 @@
 	}
 }
 
-// arrival returns the next frame once it has come; ok is false at the link's end.
+// arrival waits for the next frame to arrive; ok is false at the link's end.
 func arrival[F any](ctx context.Context, way <-chan sentFrame[F], v *valve) (f F, ok bool) {
 	select {
 	case s := <-way:
@@ -250,28 +249,28 @@
 	}
 }
 
-// serveGate is the gate's end of the link.
+// serveGate runs the gate's end of the link.
 func (l *virtualLink) serveGate() {
 	defer l.gateEnd()
 	wake := make(chan struct{}, 1)
 	d := l.process.driver
-	if !d.Connect(l.entry.life, l.number, pokerOf(wake)) {
+	if !d.Connect(l.entry.incarnation, l.number, notifierOf(wake)) {
 		return
 	}
-	defer l.process.join(l, pokerOf(wake))()
+	defer l.process.join(l, notifierOf(wake))()
 	go l.receiveOrders()
 	l.sendReports(wake)
 	if l.agent.awake.pass(l.process.ctx) {
-		d.Disconnect(l.entry.life, l.number)
+		d.Disconnect(l.entry.incarnation, l.number)
 	}
 }
 
-// receiveOrders brings the owner's frames to the gate.
+// receiveOrders passes the owner's frames to the gate.
 func (l *virtualLink) receiveOrders() {
 	defer l.gateEnd()
 	for {
 		f, ok := arrival(l.gateCtx, l.toGate, &l.path.toGate)
-		if !ok || !l.agent.awake.pass(l.gateCtx) || !l.process.driver.Frame(l.entry.life, l.number, f) {
+		if !ok || !l.agent.awake.pass(l.gateCtx) || !l.process.driver.Frame(l.entry.incarnation, l.number, f) {
 			return
 		}
 	}
@@ -284,7 +283,7 @@
 	defer beat.Stop()
 	for l.agent.awake.pass(l.gateCtx) {
 		reported := d.Reported()
-		f, ok := d.Flush(l.entry.life, l.number)
+		f, ok := d.Flush(l.entry.incarnation, l.number)
 		if !ok {
 			return
 		}
@@ -305,7 +304,7 @@
 	d := l.process.driver
 	since := time.Since(sent)
 	switch {
-	case d.Pending(l.entry.life):
+	case d.Pending(l.entry.incarnation):
 		return true
 	case since < linkReportPause/2:
 		return false
@@ -313,14 +312,14 @@
 		return true
 	}
 	pause := linkIdleReport
-	if d.HasRuns(l.entry.life) {
+	if d.HasRuns(l.entry.incarnation) {
 		pause = linkReportHeartbeat
 	}
 	return since >= pause-linkReportHeartbeat/2
 }
 
-// pokerOf returns a function that wakes a waiting loop and never blocks.
-func pokerOf(wake chan<- struct{}) func() {
+// notifierOf returns a function that signals a channel without blocking.
+func notifierOf(wake chan<- struct{}) func() {
 	return func() {
 		select {
 		case wake <- struct{}{}:
--- a/node/virtualtarget_test.go
+++ b/node/virtualtarget_test.go
@@ -12,30 +12,29 @@
 	"rackspur/job"
 )
 
-// stopFault is what an executor does with stops that it does not answer.
+// stopFault makes a target leave stops unanswered.
 type stopFault struct {
 	on bool
-	// after is how much later they are carried out; 0 is never. PROTOCOL.md: an
-	// unanswered call may be done seconds later, after newer calls.
+	// after is the delay before a stop is carried out; 0 for never. PROTOCOL.md allows
+	// unanswered calls to be carried out seconds later, after newer ones.
 	after time.Duration
 }
 
-// virtualTarget is an executor with a slow clock and faults, which may start again.
+// virtualTarget is a target with a slow clock and faults. It can crash and restart.
 type virtualTarget struct {
 	mu sync.Mutex
-	// lives are its lives, the newest last.
-	lives []*standin.Executor
-	// dark: while it is down, calls get no answer; else connections are refused.
+	// incarnations are its incarnations, the newest last.
+	incarnations []*standin.Executor
+	// dark says that calls get no answer while it is down; otherwise they are refused.
 	dark  bool
 	stops stopFault
-	// startsLate is how much later starts are carried out, which are not answered then; 0
-	// for none.
+	// startsLate is the delay of starts, which get no answer then; 0 for no delay.
 	startsLate time.Duration
-	// tries are the runs whose first try was kept; nil keeps none.
+	// tries has the withheld first tries; nil to withhold none.
 	tries map[job.RunName]lateStart
 }
 
-// lateStart is a start that was neither carried out nor answered.
+// lateStart is a withheld start: it was neither carried out nor answered.
 type lateStart struct {
 	life gate.Life
 	call gate.StartCall
@@ -44,33 +43,34 @@
 func newVirtualTarget(name string, maxHold time.Duration) *virtualTarget {
 	work := func(job.RunName) (time.Duration, gate.EndKind) { return taskTime, gate.EndDone }
 	e := standin.NewExecutor("life-of-"+name, job.Resources{CPU: 16000, Memory: 32768}, work)
-	// The lease is counted on the slow clock.
+	// The target measures leases with its slow clock.
 	e.MaxHold = maxHold * 100 / targetClock
-	return &virtualTarget{lives: []*standin.Executor{e}}
+	return &virtualTarget{incarnations: []*standin.Executor{e}}
 }
 
-// newest returns the newest life.
+// newest returns the newest incarnation.
 func (x *virtualTarget) newest() *standin.Executor {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.lives[len(x.lives)-1]
+	return x.incarnations[len(x.incarnations)-1]
 }
 
-// all returns all lives.
+// all returns all incarnations.
 func (x *virtualTarget) all() []*standin.Executor {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return slices.Clone(x.lives)
+	return slices.Clone(x.incarnations)
 }
 
-// begin makes another life the newest; the one before must have crashed.
+// begin starts a new incarnation; the one before must have crashed.
 func (x *virtualTarget) begin(e *standin.Executor) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.lives = append(x.lives, e)
+	x.incarnations = append(x.incarnations, e)
 }
 
-// crash ends the newest life. Until the next begins, calls are refused, or get no answer.
+// crash crashes the target. Until the next incarnation begins, calls get no answer if dark
+// is set, and are refused otherwise.
 func (x *virtualTarget) crash(dark bool) {
 	x.newest().Crash()
 	x.mu.Lock()
@@ -78,7 +78,7 @@
 	x.dark = dark
 }
 
-// Journal returns the runs of all lives.
+// Journal returns the runs of all incarnations.
 func (x *virtualTarget) Journal() (all []standin.Span) {
 	for _, e := range x.all() {
 		all = append(all, e.Journal()...)
@@ -86,7 +86,7 @@
 	return all
 }
 
-// down answers a call while the newest life is down; it returns nil if it is up.
+// down returns the error of a call while the target is down, or nil if it is up.
 func (x *virtualTarget) down(ctx context.Context) error {
 	if !x.newest().Down() {
 		return nil
@@ -101,13 +101,13 @@
 	return gate.ErrUnanswered
 }
 
-// life is the life of the executor.
+// life identifies the newest incarnation.
 func (x *virtualTarget) life() gate.Life {
 	e := x.newest()
 	return gate.Life{ID: e.Life, Born: e.Born}
 }
 
-// setStops sets what becomes of stops from now on.
+// setStops sets the fault that applies to stops.
 func (x *virtualTarget) setStops(f stopFault) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -126,22 +126,22 @@
 	return x.startsLate
 }
 
-// setStartsLate has starts carried out so much later, without an answer.
+// setStartsLate delays starts, which get no answer then; 0 ends the fault.
 func (x *virtualTarget) setStartsLate(late time.Duration) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.startsLate = late
 }
 
-// keepFirstTries keeps the first try of each start from now on, unanswered.
-func (x *virtualTarget) keepFirstTries() {
+// withholdFirstTries withholds the first try of each start from now on.
+func (x *virtualTarget) withholdFirstTries() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.tries = map[job.RunName]lateStart{}
 }
 
-// keepTry says whether a start is kept.
-func (x *virtualTarget) keepTry(life gate.Life, c gate.StartCall) bool {
+// withholdTry withholds a start if it is a first try, and reports whether it did.
+func (x *virtualTarget) withholdTry(life gate.Life, c gate.StartCall) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.tries == nil {
@@ -154,35 +154,35 @@
 	return true
 }
 
-// keptTries returns the starts that were kept.
-func (x *virtualTarget) keptTries() []lateStart {
+// withheldTries returns the starts that were withheld.
+func (x *virtualTarget) withheldTries() []lateStart {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return slices.Collect(maps.Values(x.tries))
 }
 
-// told is a time of the executor as its own clock shows it, meant the reverse.
-func told(clockMS int64) int64  { return clockMS * targetClock / 100 }
-func meant(clockMS int64) int64 { return clockMS * 100 / targetClock }
+// toTargetClock converts a time to the target's slow clock; fromTargetClock is the reverse.
+func toTargetClock(clockMS int64) int64   { return clockMS * targetClock / 100 }
+func fromTargetClock(clockMS int64) int64 { return clockMS * 100 / targetClock }
 
 // Start implements gate.Executor.Start.
 func (x *virtualTarget) Start(ctx context.Context, life gate.Life, c gate.StartCall) (gate.Answer, error) {
 	if err := x.down(ctx); err != nil {
 		return gate.Answer{}, err
 	}
-	c.UntilMS = meant(c.UntilMS)
-	if x.keepTry(life, c) {
+	c.UntilMS = fromTargetClock(c.UntilMS)
+	if x.withholdTry(life, c) {
 		<-ctx.Done()
 		return gate.Answer{}, gate.ErrUnanswered
 	}
 	if late := x.startsLateNow(); late > 0 {
-		// The life of then carries it out.
+		// The incarnation that is the newest at that time carries it out.
 		time.AfterFunc(late, func() { _, _ = x.newest().Start(context.Background(), life, c) })
 		<-ctx.Done()
 		return gate.Answer{}, gate.ErrUnanswered
 	}
 	a, err := x.newest().Start(ctx, life, c)
-	a.ClockMS = told(a.ClockMS)
+	a.ClockMS = toTargetClock(a.ClockMS)
 	return a, err
 }
 
@@ -194,7 +194,7 @@
 	fault := x.stopsNow()
 	if !fault.on {
 		a, err := x.newest().Stop(ctx, life, c)
-		a.ClockMS = told(a.ClockMS)
+		a.ClockMS = toTargetClock(a.ClockMS)
 		return a, err
 	}
 	if fault.after > 0 {
@@ -209,8 +209,8 @@
 	if err := x.down(ctx); err != nil {
 		return gate.Answer{}, gate.HoldAnswer{}, err
 	}
-	c.UntilMS = meant(c.UntilMS)
+	c.UntilMS = fromTargetClock(c.UntilMS)
 	a, lists, err := x.newest().Hold(ctx, life, c)
-	a.ClockMS = told(a.ClockMS)
+	a.ClockMS = toTargetClock(a.ClockMS)
 	return a, lists, err
 }
