--- a/cli/bound.go
+++ b/cli/bound.go
@@ -14,16 +14,16 @@
 	"rackspur/settings"
 )
 
-// boundSettings are the settings of "rackspur bound".
+// boundSettings holds the settings of "rackspur bound".
 type boundSettings struct {
-	factors string
-	seeds   int
-	dead    time.Duration
+	factors  string
+	seeds    int
+	deadTime time.Duration
 }
 
-// deadDefault is how long a task holds its room beyond its run on the users'
-// platform, as measured there (docs/DECISIONS.md).
-const deadDefault = 2500 * time.Microsecond
+// defaultDeadTime is the time for which the users' platform keeps a task's CPU
+// allocated after its run (docs/DECISIONS.md).
+const defaultDeadTime = 2500 * time.Microsecond
 
 func newBound() *cobra.Command {
 	var s boundSettings
@@ -38,7 +38,7 @@
 	set := settings.NewSet(cmd.Flags())
 	set.String(&s.factors, "factors", "1,1.2,1.4,1.6,1.8,2", "factors of the rates, separated by commas")
 	set.Int(&s.seeds, "seeds", 5, "how many loads are drawn for each factor", 1, 1000)
-	set.Duration(&s.dead, "dead", deadDefault, "time that each task holds its room beyond its run", 0, time.Second)
+	set.Duration(&s.deadTime, "dead", defaultDeadTime, "time that each task holds its room beyond its run", 0, time.Second)
 	cmd.RunE = checked(set, func(cmd *cobra.Command, args []string) error {
 		return runBound(cmd.OutOrStdout(), &s, append(args, "rating")[0])
 	})
@@ -57,30 +57,30 @@
 	fmt.Fprintln(out, "factor\torder\tearned\tworst kind\tin time\tlate\tdropped")
 	for _, factor := range factors {
 		for _, order := range []bound.Order{bound.OrderSlack, bound.OrderWorth} {
-			writeBound(out, factor, order, playSeeds(scenario, s, factor, order))
+			writeBound(out, factor, order, simulateSeeds(scenario, s, factor, order))
 		}
 	}
 	return nil
 }
 
-// parseFactors reads the factors of the rates.
+// parseFactors parses a comma-separated list of rate factors.
 func parseFactors(text string) ([]float64, error) {
 	var factors []float64
 	for _, field := range strings.Split(text, ",") {
 		factor, err := strconv.ParseFloat(strings.TrimSpace(field), 64)
 		if err != nil || factor <= 0 || factor > 100 {
-			return nil, exitWith(ExitUsage, "factors: %q is not a number above 0, at most 100", field)
+			return nil, exitWith(ExitUsage, "factors: %q is not a number above 0 and at most 100", field)
 		}
 		factors = append(factors, factor)
 	}
 	return factors, nil
 }
 
-// playSeeds plays a load with each seed and adds up what became of each kind.
-func playSeeds(scenario *bound.Scenario, s *boundSettings, factor float64, order bound.Order) map[string]bound.Outcome {
+// simulateSeeds simulates a load with each seed and sums the outcomes of each kind.
+func simulateSeeds(scenario *bound.Scenario, s *boundSettings, factor float64, order bound.Order) map[string]bound.Outcome {
 	total := map[string]bound.Outcome{}
 	for seed := range s.seeds {
-		for kind, o := range scenario.Play(factor, uint64(seed)+1, order, s.dead) {
+		for kind, o := range scenario.Play(factor, uint64(seed)+1, order, s.deadTime) {
 			sum := total[kind]
 			sum.Add(o)
 			total[kind] = sum
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -1,5 +1,4 @@
-// Package cli is the command line of rackspur. It wires the defaults of every
-// other package together.
+// Package cli implements the rackspur command line.
 package cli
 
 import (
@@ -19,7 +18,8 @@
 	"rackspur/settings"
 )
 
-// Exit codes. The codes of submit tell what became of the submission.
+// Exit codes. ExitFailed, ExitNotRun and ExitUnknown report the outcome of a
+// submission.
 const (
 	ExitOK      = 0
 	ExitError   = 1
@@ -29,10 +29,10 @@
 	ExitUnknown = 5
 )
 
-// Version is the version of the program.
+// Version is the version of rackspur.
 const Version = "0.1.0"
 
-// exitError carries an exit code.
+// exitError is an error with the exit code of the program.
 type exitError struct {
 	code int
 	err  error
@@ -41,10 +41,10 @@
 // Error implements error.Error.
 func (e *exitError) Error() string { return e.err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e *exitError) Unwrap() error { return e.err }
 
-// exitWith returns an error that ends the program with a code.
+// exitWith returns an error that makes the program exit with a code.
 func exitWith(code int, format string, args ...any) error {
 	return &exitError{code: code, err: fmt.Errorf(format, args...)}
 }
@@ -53,7 +53,7 @@
 func Main(args []string, in io.Reader, out, errOut io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	surviveHangUp(args)
+	catchHangUp(args)
 	root := newRoot()
 	root.SetArgs(args)
 	root.SetIn(in)
@@ -74,10 +74,9 @@
 	return ExitError
 }
 
-// surviveHangUp makes a role on the platform live through SIGHUP from its first
-// moment to its last: the signal says that settings have changed, also while the
-// role does not listen for it yet.
-func surviveHangUp(args []string) {
+// catchHangUp keeps SIGHUP from terminating a role on the platform, even before
+// the role handles it. The platform sends it when settings have changed.
+func catchHangUp(args []string) {
 	if len(args) > 0 && args[0] == commandPlatform {
 		signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP)
 	}
@@ -112,7 +111,7 @@
 	}
 }
 
-// checked returns a RunE that checks the settings of a command before it runs.
+// checked returns a RunE that checks the command's settings and then calls run.
 func checked(set *settings.Set, run func(cmd *cobra.Command, args []string) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		if err := set.Check(); err != nil {
@@ -122,28 +121,28 @@
 	}
 }
 
-// common are the settings that every serving role has.
-type common struct {
-	logFormat string
-	verbosity int
-	trace     string
-	traceTo   string
+// commonSettings holds the settings shared by all serving roles.
+type commonSettings struct {
+	logFormat     string
+	verbosity     int
+	trace         string
+	traceEndpoint string
 }
 
-func (c *common) define(set *settings.Set) {
+func (c *commonSettings) define(set *settings.Set) {
 	set.Choice(&c.logFormat, "log-format", "text", "form of log lines", "text", "json")
 	set.Int(&c.verbosity, "verbosity", 0, "how much is logged", 0, 4)
 	set.Choice(&c.trace, "trace", "none", "where trace spans go", "none", "stderr", "otlp")
-	set.Address(&c.traceTo, "trace-endpoint", "127.0.0.1:4317", "address of the OTLP collector")
+	set.Address(&c.traceEndpoint, "trace-endpoint", "127.0.0.1:4317", "address of the OTLP collector")
 }
 
-func (c *common) logger(w io.Writer) logr.Logger {
+func (c *commonSettings) logger(w io.Writer) logr.Logger {
 	return observe.NewLogger(w, observe.LogFormat(c.logFormat), c.verbosity)
 }
 
-// serve runs a role with tracing until the process is told to stop.
-func (c *common) serve(ctx context.Context, service string, run func(context.Context, logr.Logger) error) error {
-	flush, err := observe.StartTracing(ctx, observe.TraceExporter(c.trace), c.traceTo, service, os.Stderr)
+// serve runs a role with tracing set up.
+func (c *commonSettings) serve(ctx context.Context, service string, run func(context.Context, logr.Logger) error) error {
+	flush, err := observe.StartTracing(ctx, observe.TraceExporter(c.trace), c.traceEndpoint, service, os.Stderr)
 	if err != nil {
 		return err
 	}
--- a/cli/dev.go
+++ b/cli/dev.go
@@ -30,13 +30,13 @@
 //go:embed dev.yaml
 var devDeclaration []byte
 
-// devToken is the token of the example declaration's first member.
+// devToken is the token of the first member of the example declaration.
 const devToken = "ghanta:dev-secret"
 
-// devTasks is the number of tasks of the job that dev sends first.
+// devTasks is the number of tasks of the job that dev sends.
 const devTasks = 380
 
-// devSettings are the settings of "rackspur dev".
+// devSettings holds the settings of "rackspur dev".
 type devSettings struct {
 	listen  string
 	ops     string
@@ -47,7 +47,7 @@
 
 func newDev() *cobra.Command {
 	var s devSettings
-	var c common
+	var c commonSettings
 	cmd := &cobra.Command{
 		Use:   "dev",
 		Short: "Run everything in one process, with stand-ins, and send one job",
@@ -76,7 +76,7 @@
 	return cmd
 }
 
-// serviceFunc lets suture supervise a function.
+// serviceFunc adapts a function to suture.Service.
 type serviceFunc func(context.Context) error
 
 // Serve implements suture.Service.Serve.
@@ -124,7 +124,7 @@
 	return err
 }
 
-// freeAddresses returns n different loopback addresses that are free now.
+// freeAddresses returns n distinct loopback addresses with unused ports.
 func freeAddresses(n int) ([]string, error) {
 	addresses := make([]string, n)
 	for i := range addresses {
@@ -138,10 +138,11 @@
 	return addresses, nil
 }
 
-// devDomains are the failure domains of the example.
+// devDomains lists the failure domains of the example declaration.
 var devDomains = []string{"lahore-a", "lahore-b", "lahore-c"}
 
-// addressesPerAgent are those of the target, of the agent and of its operators' port.
+// addressesPerAgent counts the addresses of the target, the agent and the agent's
+// operators' port.
 const addressesPerAgent = 3
 
 func devAgent(sup *suture.Supervisor, memory *standin.Store, s *devSettings, i int, addresses []string, log logr.Logger) error {
@@ -191,7 +192,7 @@
 	return nil
 }
 
-// devJob sends a job of 380 tasks and checks that every part came back.
+// devJob sends a job and checks the result of every task.
 func devJob(ctx context.Context, cmd *cobra.Command, s *devSettings) error {
 	job := &api.Job{Kind: "reshuffle"}
 	for i := range devTasks {
@@ -201,9 +202,9 @@
 	client := caller.New([]string{"http://" + s.listen}, devToken)
 	ids, refused, err := client.IDs(ctx, 1)
 	if err != nil || refused != nil {
-		return exitWith(ExitError, "no id: %v %v", err, refused)
+		return exitWith(ExitError, "requesting an id: %v %v", err, refused)
 	}
-	begun := time.Now()
+	start := time.Now()
 	reply, err := client.Submit(ctx, ids[0], job)
 	if err != nil {
 		return err
@@ -214,11 +215,11 @@
 	for i, r := range reply.Answer.Results {
 		var result standin.Result
 		if err := json.Unmarshal(r.Result, &result); err != nil || result.Digest != standin.Digest(job.Tasks[i].Payload) {
-			return exitWith(ExitFailed, "task %d: the result does not belong to its payload", i)
+			return exitWith(ExitFailed, "task %d: the result does not match the payload", i)
 		}
 	}
 	fmt.Fprintf(cmd.OutOrStdout(), "job %s: %d of %d tasks answered in %s by %d targets, every result checked\n",
-		reply.Answer.Outcome, len(reply.Answer.Results), devTasks, time.Since(begun).Round(time.Millisecond), s.targets)
+		reply.Answer.Outcome, len(reply.Answer.Results), devTasks, time.Since(start).Round(time.Millisecond), s.targets)
 	fmt.Fprintln(os.Stderr, "see 'rackspur help' for the commands")
 	return nil
 }
--- a/cli/hangup_test.go
+++ b/cli/hangup_test.go
@@ -8,28 +8,29 @@
 	"testing"
 )
 
-// hangUpVariable makes the test binary play a role that is sent SIGHUP.
-const hangUpVariable = "RACKSPUR_TEST_HANG_UP"
+// childEnv is set in the environment of the child process of
+// TestHangUpBeforeSettings.
+const childEnv = "RACKSPUR_TEST_HANG_UP"
 
-// A role on the platform lives through SIGHUP also before it reads its settings.
-// The test runs itself as a process of its own, which the signal ends otherwise.
+// A SIGHUP that arrives before the settings are read must not terminate a role on
+// the platform. The signal is sent in a child process.
 func TestHangUpBeforeSettings(t *testing.T) {
-	if os.Getenv(hangUpVariable) != "" {
-		surviveHangUp([]string{commandPlatform, roleEntry})
-		hangUpSelf(t)
+	if os.Getenv(childEnv) != "" {
+		catchHangUp([]string{commandPlatform, roleEntry})
+		signalSelf(t)
 		return
 	}
-	// A process whose parent ignores the signal would live in any case.
+	// A child that inherits an ignored SIGHUP would survive in any case.
 	signal.Reset(syscall.SIGHUP)
 	cmd := exec.Command(os.Args[0], "-test.run=^TestHangUpBeforeSettings$")
-	cmd.Env = append(os.Environ(), hangUpVariable+"=1")
+	cmd.Env = append(os.Environ(), childEnv+"=1")
 	if out, err := cmd.CombinedOutput(); err != nil {
 		t.Errorf("%v: %s", err, out)
 	}
 }
 
-// hangUpSelf sends the signal to this process twice and waits for the second.
-func hangUpSelf(t *testing.T) {
+// signalSelf sends SIGHUP to this process twice and waits for the second signal.
+func signalSelf(t *testing.T) {
 	t.Helper()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
--- a/cli/limits.go
+++ b/cli/limits.go
@@ -9,17 +9,18 @@
 	"rackspur/route"
 )
 
-// limitedConn is a client's connection whose times to wait follow the
-// configuration in force: http.Server knows those of its start only.
+// limitedConn is a client connection whose read timeouts follow the current
+// configuration. Those of http.Server are fixed at its start.
 type limitedConn struct {
 	net.Conn
 	limits func() route.Limits
-	// idle says that the connection is between two requests.
+	// idle is true while the connection is between two requests.
 	idle atomic.Bool
 }
 
-// SetReadDeadline implements net.Conn.SetReadDeadline. The server sets a deadline
-// for the next request and for its header; both are moved to what is configured.
+// SetReadDeadline implements net.Conn.SetReadDeadline. It replaces the deadlines
+// that http.Server sets for the next request and for its header by the configured
+// ones.
 func (c *limitedConn) SetReadDeadline(t time.Time) error {
 	if t.IsZero() || t.Before(time.Now()) {
 		return c.Conn.SetReadDeadline(t)
@@ -35,7 +36,7 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// limitedListener makes connections that follow the limits in force.
+// limitedListener accepts connections as limitedConns.
 type limitedListener struct {
 	net.Listener
 	limits func() route.Limits
@@ -50,17 +51,18 @@
 	return &limitedConn{Conn: c, limits: l.limits}, nil
 }
 
-// noteState tells a connection whether it waits for the next request.
-func noteState(c net.Conn, s http.ConnState) {
+// trackIdle is an http.Server.ConnState hook that records whether a limitedConn is
+// idle.
+func trackIdle(c net.Conn, s http.ConnState) {
 	if limited, ok := c.(*limitedConn); ok {
 		limited.idle.Store(s == http.StateIdle)
 	}
 }
 
-// limitHeaders refuses requests whose header is larger than configured.
+// limitHeaders rejects requests whose header exceeds the configured size.
 func limitHeaders(limits func() route.Limits, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		if most := limits().HeaderBytes; most > 0 && headerBytes(req) > most {
+		if maxBytes := limits().HeaderBytes; maxBytes > 0 && headerBytes(req) > maxBytes {
 			http.Error(w, "header too large", http.StatusRequestHeaderFieldsTooLarge)
 			return
 		}
@@ -68,7 +70,7 @@
 	})
 }
 
-// headerBytes returns the size of a request's line and header as they were sent.
+// headerBytes returns the size of the request line and the header as sent.
 func headerBytes(req *http.Request) int {
 	const separators = len(": \r\n")
 	n := len(req.Method) + len(req.RequestURI) + len(req.Proto) + separators + len("Host") + len(req.Host) + separators
@@ -80,14 +82,15 @@
 	return n
 }
 
-// serveLimited serves a handler on an address under limits that may change.
+// serveLimited serves a handler on an address and applies the current limits to
+// each connection and request.
 func serveLimited(address string, limits func() route.Limits, h http.Handler) (*http.Server, error) {
 	l, err := listen(address)
 	if err != nil {
 		return nil, err
 	}
 	srv := newServer(limitHeaders(limits, h))
-	srv.ConnState = noteState
+	srv.ConnState = trackIdle
 	serveListener(srv, limitedListener{Listener: l, limits: limits})
 	return srv, nil
 }
--- a/cli/limits_test.go
+++ b/cli/limits_test.go
@@ -16,7 +16,7 @@
 	"rackspur/route"
 )
 
-// limitedFront serves under limits that a test changes.
+// limitedFront starts a server whose limits the test can change.
 func limitedFront(t *testing.T) (address string, limits *atomic.Pointer[route.Limits]) {
 	t.Helper()
 	limits = &atomic.Pointer[route.Limits]{}
@@ -48,8 +48,9 @@
 	return c
 }
 
-// ask sends a request and returns the status; 0 if the connection has closed.
-func ask(c net.Conn, header string) int {
+// requestStatus sends a request and returns the status of the response, or 0 if the
+// connection is closed.
+func requestStatus(c net.Conn, header string) int {
 	if _, err := fmt.Fprintf(c, "GET / HTTP/1.1\r\nHost: h\r\n%s\r\n", header); err != nil {
 		return 0
 	}
@@ -62,9 +63,9 @@
 	return res.StatusCode
 }
 
-// closes says whether the server ends a connection on which nothing is sent; it
-// may say why first.
-func closes(c net.Conn) bool {
+// closedByServer reports whether the server closes the connection when nothing is
+// sent. The server may send a response first.
+func closedByServer(c net.Conn) bool {
 	_, err := io.ReadAll(c)
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
@@ -72,44 +73,43 @@
 func TestHeaderSizeFollowsConfiguration(t *testing.T) {
 	address, limits := limitedFront(t)
 	large := "X-Large: " + strings.Repeat("x", 2000) + "\r\n"
-	if status := ask(dial(t, address), large); status != http.StatusOK {
+	if status := requestStatus(dial(t, address), large); status != http.StatusOK {
 		t.Errorf("without a limit: %d", status)
 	}
 	limits.Store(&route.Limits{HeaderBytes: 1000})
-	if status := ask(dial(t, address), large); status != http.StatusRequestHeaderFieldsTooLarge {
+	if status := requestStatus(dial(t, address), large); status != http.StatusRequestHeaderFieldsTooLarge {
 		t.Errorf("over the limit: %d", status)
 	}
-	if status := ask(dial(t, address), "X-Small: x\r\n"); status != http.StatusOK {
+	if status := requestStatus(dial(t, address), "X-Small: x\r\n"); status != http.StatusOK {
 		t.Errorf("below the limit: %d", status)
 	}
 }
 
-// A connection between two requests, and one whose header does not come, is
-// closed after the times of the configuration, also one that was open before.
+// Changed idle and header timeouts must apply to open connections too.
 func TestTimesFollowConfiguration(t *testing.T) {
 	address, limits := limitedFront(t)
 	c := dial(t, address)
-	if status := ask(c, ""); status != http.StatusOK {
+	if status := requestStatus(c, ""); status != http.StatusOK {
 		t.Fatalf("status %d", status)
 	}
 	limits.Store(&route.Limits{IdleTimeout: 20 * time.Millisecond, HeaderTimeout: time.Hour})
-	if status := ask(c, ""); status != http.StatusOK {
+	if status := requestStatus(c, ""); status != http.StatusOK {
 		t.Fatalf("status %d", status)
 	}
-	if !closes(c) {
-		t.Error("an idle connection is not closed")
+	if !closedByServer(c) {
+		t.Error("an idle connection was not closed")
 	}
 	limits.Store(&route.Limits{IdleTimeout: time.Hour, HeaderTimeout: 20 * time.Millisecond})
 	slow := dial(t, address)
 	if _, err := io.WriteString(slow, "GET / HT"); err != nil {
 		t.Fatal(err)
 	}
-	if !closes(slow) {
-		t.Error("a header that does not come is waited for")
+	if !closedByServer(slow) {
+		t.Error("a connection with an incomplete header was not closed")
 	}
 }
 
-// deadlineConn records the deadline that it was given.
+// deadlineConn records the last read deadline.
 type deadlineConn struct {
 	net.Conn
 	deadline time.Time
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// The server's own deadlines are moved to those of the configuration in force.
+// Deadlines set by http.Server must be replaced by the configured ones.
 func TestReadDeadlines(t *testing.T) {
 	const own = 5 * time.Second
 	cases := []struct {
@@ -142,7 +142,7 @@
 			if tc.idle {
 				state = http.StateIdle
 			}
-			noteState(c, state)
+			trackIdle(c, state)
 			now := time.Now()
 			_ = c.SetReadDeadline(now.Add(own))
 			if got := inner.deadline.Sub(now); got < tc.want || got > tc.want+own/2 {
@@ -150,7 +150,7 @@
 			}
 			_ = c.SetReadDeadline(time.Time{})
 			if !inner.deadline.IsZero() {
-				t.Error("a deadline that was taken away stands")
+				t.Error("a cleared deadline is still set")
 			}
 		})
 	}
--- a/cli/load.go
+++ b/cli/load.go
@@ -10,7 +10,7 @@
 	"rackspur/settings"
 )
 
-// loadSettings are the settings of "rackspur load".
+// loadSettings holds the settings of "rackspur load".
 type loadSettings struct {
 	entries  string
 	tokens   string
@@ -67,7 +67,7 @@
 	for _, token := range strings.Split(s.tokens, ",") {
 		member, _, ok := strings.Cut(token, ":")
 		if !ok {
-			return exitWith(ExitUsage, "tokens: want member:secret,member:secret")
+			return exitWith(ExitUsage, "tokens: must have the form member:secret,member:secret")
 		}
 		tokens[member] = token
 	}
--- a/cli/operate.go
+++ b/cli/operate.go
@@ -23,10 +23,10 @@
 	"rackspur/store"
 )
 
-// operatorTimeout bounds a call to the operators' port.
+// operatorTimeout is the timeout of a request to the operators' port.
 const operatorTimeout = 5 * time.Second
 
-// operatorSettings are what an operator's command needs to know.
+// operatorSettings holds the settings of the operators' commands.
 type operatorSettings struct {
 	platform string
 	ops      string
@@ -140,7 +140,7 @@
 			return err
 		}
 		if r == nil {
-			return exitWith(ExitError, "no configuration is accepted yet")
+			return exitWith(ExitError, "no configuration has been accepted yet")
 		}
 		printJSON(cmd.OutOrStdout(), r)
 		return nil
@@ -226,7 +226,7 @@
 	return t
 }
 
-// status reads the status of an entry box.
+// status fetches the status of an entry box.
 func (s *operatorSettings) status() (*entry.Status, error) {
 	client := &http.Client{Timeout: operatorTimeout}
 	res, err := client.Get(s.ops + observe.PathStatus)
--- a/cli/platform.go
+++ b/cli/platform.go
@@ -19,19 +19,19 @@
 	"rackspur/settings"
 )
 
-// Times of the platform's roles. Those of the front hold until a configuration
-// names others.
+// Timeouts of the roles on the platform. Those of the front apply until the
+// configuration sets others.
 const (
 	frontHeaderTimeout = 3 * time.Second
 	frontIdleTimeout   = 15 * time.Second
-	// graceMargin is left of the grace for the end itself.
+	// graceMargin is the part of the grace period reserved for the final shutdown.
 	graceMargin = 1200 * time.Millisecond
 )
 
-// errListen says that an address can't be served.
-var errListen = eris.New("cli: can't listen")
+// errListen is returned when an address can't be listened on.
+var errListen = eris.New("cli: listen failed")
 
-// newPlatform returns the commands that run rackspur on the users' platform.
+// newPlatform returns the commands that run a role on the users' platform.
 func newPlatform() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   commandPlatform,
@@ -44,7 +44,7 @@
 	return cmd
 }
 
-// commandPlatform starts the roles on the platform.
+// commandPlatform is the name of the command that runs roles on the platform.
 const commandPlatform = "platform"
 
 // Names of the roles on the platform.
@@ -53,22 +53,23 @@
 	roleAgent = "agent"
 )
 
-// platformRole runs a role until the context ends, then stops it.
+// platformRole runs a role until ctx is done and then shuts it down.
 type platformRole func(ctx context.Context, s *platform.Settings, o node.Options) error
 
-// platformFlags are our own settings of a role on the platform.
+// platformFlags holds the flags of a role on the platform. Its other settings come
+// from the platform's settings file.
 type platformFlags struct {
-	common
+	commonSettings
 	advertise string
 	policies  string
 }
 
 func (f *platformFlags) define(set *settings.Set) {
 	set.Address(&f.advertise, "advertise", "", "address that other daemons reach this one at (default: the one listened on)")
-	f.common.define(set)
+	f.commonSettings.define(set)
 }
 
-// definePolicies defines what only an entry has.
+// definePolicies defines the flag that only the entry role has.
 func (f *platformFlags) definePolicies(set *settings.Set) {
 	set.String(&f.policies, "policies", "", "file with the policies that decide, read anew at SIGHUP (default: what is built in)")
 }
@@ -99,11 +100,11 @@
 			if engine != nil {
 				o.Policy = enginePolicy{engine}
 			}
-			figures, err := serveMetrics(s, o, engine)
+			metricsServer, err := serveMetrics(s, o, engine)
 			if err != nil {
-				o.Log.Error(err, "Metrics are not served.")
+				o.Log.Error(err, "Cannot serve metrics.")
 			} else {
-				defer figures.Close()
+				defer metricsServer.Close()
 			}
 			return run(ctx, s, o)
 		})
@@ -112,17 +113,17 @@
 }
 
 func platformOptions(s *platform.Settings, log logr.Logger) node.Options {
-	parts, told := s.Parts()
-	if !told {
-		log.Info("The settings tell no rates of the store; jobs stand in one part.", "node", s.Node)
+	parts, ok := s.Parts()
+	if !ok {
+		log.Info("The settings state no store rates; all jobs are kept in one part of the store.", "node", s.Node)
 	}
-	if again := s.Resubmit(); again > 0 && again < node.LeastResubmit {
-		log.Info("Callers come back sooner than all runs of a lost entry box are surely over.", "node", s.Node,
-			"retransmitMS", again.Milliseconds(), "overMS", node.LeastResubmit.Milliseconds())
+	if resubmit := s.Resubmit(); resubmit > 0 && resubmit < node.LeastResubmit {
+		log.Info("Callers may resubmit before all runs of a lost entry box have ended.", "node", s.Node,
+			"retransmitMS", resubmit.Milliseconds(), "overMS", node.LeastResubmit.Milliseconds())
 	}
-	if longest := s.MaxHold(); longest < node.LeastLease {
-		log.Info("The platform allows shorter leases than can be kept; runs may lapse.", "node", s.Node,
-			"maxHoldMS", longest.Milliseconds(), "leastMS", node.LeastLease.Milliseconds())
+	if maxHold := s.MaxHold(); maxHold < node.LeastLease {
+		log.Info("The platform's longest lease is too short to be renewed reliably; runs may lapse.", "node", s.Node,
+			"maxHoldMS", maxHold.Milliseconds(), "leastMS", node.LeastLease.Milliseconds())
 	}
 	metrics := observe.NewMetrics()
 	nodeLog := log.WithValues("node", s.Node)
@@ -136,7 +137,7 @@
 }
 
 func runPlatformEntry(ctx context.Context, s *platform.Settings, o node.Options) error {
-	run, end := context.WithCancel(context.Background())
+	runCtx, end := context.WithCancel(context.Background())
 	defer end()
 	e, err := node.NewEntry(o, platform.FollowOperator)
 	if err != nil {
@@ -153,24 +154,24 @@
 		return err
 	}
 	defer front.Close()
-	go func() { _ = e.Run(run) }()
+	go func() { _ = e.Run(runCtx) }()
 	<-ctx.Done()
-	o.Log.Info("Entry stops.")
-	grace, cancel := context.WithTimeout(run, s.Grace()-graceMargin)
+	o.Log.Info("Entry is stopping.")
+	graceCtx, cancel := context.WithTimeout(runCtx, s.Grace()-graceMargin)
 	defer cancel()
 	front.SetKeepAlivesEnabled(false)
-	e.Stop(grace)
-	last, cancelLast := context.WithTimeout(run, graceMargin/2)
-	defer cancelLast()
-	_ = front.Shutdown(last)
+	e.Stop(graceCtx)
+	shutdownCtx, cancelShutdown := context.WithTimeout(runCtx, graceMargin/2)
+	defer cancelShutdown()
+	_ = front.Shutdown(shutdownCtx)
 	o.Log.Info("Entry has stopped.")
 	return nil
 }
 
 func runPlatformAgent(ctx context.Context, s *platform.Settings, o node.Options) error {
-	run, end := context.WithCancel(context.Background())
+	runCtx, end := context.WithCancel(context.Background())
 	defer end()
-	a, err := node.NewAgent(run, o, platform.NewExecutor(s, o.Unreadable))
+	a, err := node.NewAgent(runCtx, o, platform.NewExecutor(s, o.Unreadable))
 	if err != nil {
 		return err
 	}
@@ -180,24 +181,24 @@
 		return err
 	}
 	defer control.Close()
-	go func() { _ = a.Run(run) }()
+	go func() { _ = a.Run(runCtx) }()
 	<-ctx.Done()
-	o.Log.Info("Agent stops.")
-	grace, cancel := context.WithTimeout(run, s.Grace()-graceMargin)
+	o.Log.Info("Agent is stopping.")
+	graceCtx, cancel := context.WithTimeout(runCtx, s.Grace()-graceMargin)
 	defer cancel()
-	a.Stop(grace)
+	a.Stop(graceCtx)
 	o.Log.Info("Agent has stopped.")
 	return nil
 }
 
-// metricsPort and metricsPath are named in deploy/system.toml.
+// Port and path of the metrics, which deploy/system.toml refers to.
 const (
 	metricsPort = "9464"
 	metricsPath = "/metrics"
 )
 
-// serveMetrics serves the metrics in text form, and the decisions of policies if
-// there are any.
+// serveMetrics serves the metrics in text form and, if there is a policy engine, its
+// recent decisions.
 func serveMetrics(s *platform.Settings, o node.Options, e *policy.Engine) (*http.Server, error) {
 	mux := http.NewServeMux()
 	if e != nil {
@@ -209,7 +210,7 @@
 	return serve(net.JoinHostPort(s.IP, metricsPort), mux)
 }
 
-// serve serves a handler on an address until the server is closed.
+// serve starts a server for a handler on an address.
 func serve(address string, h http.Handler) (*http.Server, error) {
 	l, err := listen(address)
 	if err != nil {
--- a/cli/policies.go
+++ b/cli/policies.go
@@ -13,7 +13,7 @@
 	"rackspur/policy"
 )
 
-// enginePolicy lets the engine's policies in force decide for an owner.
+// enginePolicy implements owner.Policy with the current policies of an engine.
 type enginePolicy struct{ engine *policy.Engine }
 
 // Admit implements owner.Policy.Admit.
@@ -26,9 +26,9 @@
 	return p.engine.Current().Place(j, targets)
 }
 
-// loadPolicies reads the policies of a file and reads them anew at each SIGHUP;
-// policies that can't be used leave those in force. Without a path there is no
-// engine.
+// loadPolicies returns an engine with the policies of a file and reloads them at
+// each SIGHUP. Invalid policies don't replace the current ones. The engine is nil if
+// path is empty.
 func loadPolicies(path string, m *observe.Metrics, log logr.Logger) (e *policy.Engine, stop func(), err error) {
 	if path == "" {
 		return nil, func() {}, nil
--- a/cli/policy.go
+++ b/cli/policy.go
@@ -44,13 +44,14 @@
 	}
 }
 
-// readProgram compiles a program from a file, or a shipped set by its name.
+// readProgram compiles the shipped set with the given name or, if there is none, a
+// program file.
 func readProgram(name string) (*policy.Program, error) {
 	source, err := policy.Source(name)
 	if err != nil {
 		text, fileErr := os.ReadFile(name)
 		if fileErr != nil {
-			return nil, exitWith(ExitUsage, "%s is neither a shipped set nor a file: %v", name, fileErr)
+			return nil, exitWith(ExitUsage, "%s is neither a shipped set nor a readable file: %v", name, fileErr)
 		}
 		source = string(text)
 	}
@@ -61,7 +62,7 @@
 	return p, nil
 }
 
-// hookOrder is the order in which hooks are shown.
+// hookOrder is the order in which hooks are run and printed.
 var hookOrder = []policy.Hook{policy.HookAdmit, policy.HookPlace, policy.HookRetry, policy.HookDrain}
 
 func newPolicyCheck() *cobra.Command {
@@ -92,7 +93,8 @@
 	}
 }
 
-// tryProgram runs every hook of a program on every sample.
+// tryProgram runs every hook of a program on every sample. It calls each with each
+// result and done if all of them succeeded.
 func tryProgram(name string, each func(policy.Hook, policy.Sample, any), done func()) error {
 	p, err := readProgram(name)
 	if err != nil {
@@ -135,8 +137,8 @@
 	return cmd
 }
 
-// watchPause is the time between two looks at an agent's decisions.
-const watchPause = 500 * time.Millisecond
+// watchInterval is the polling interval of policy watch.
+const watchInterval = 500 * time.Millisecond
 
 func watchDecisions(ctx context.Context, cmd *cobra.Command, ops, submission string) error {
 	client := &http.Client{Timeout: operatorTimeout}
@@ -162,7 +164,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(watchPause):
+		case <-time.After(watchInterval):
 		}
 	}
 }
--- a/cli/serve.go
+++ b/cli/serve.go
@@ -17,7 +17,7 @@
 
 func newEntry() *cobra.Command {
 	var s entry.Settings
-	var c common
+	var c commonSettings
 	cmd := &cobra.Command{
 		Use:   "entry",
 		Short: "Serve callers on an entry box",
@@ -52,7 +52,7 @@
 
 func newAgent() *cobra.Command {
 	var s agent.Settings
-	var c common
+	var c commonSettings
 	cmd := &cobra.Command{
 		Use:     "agent",
 		Short:   "Serve as home and gate beside a target",
--- a/cli/settings.go
+++ b/cli/settings.go
@@ -12,13 +12,13 @@
 	"rackspur/settings"
 )
 
-// roles are the serving roles with their settings.
+// roles lists the serving roles and the functions that define their settings.
 var roles = []struct {
 	name   string
 	define func(*settings.Set)
 }{
-	{"entry", func(s *settings.Set) { new(entry.Settings).Define(s); new(common).define(s) }},
-	{"agent", func(s *settings.Set) { new(agent.Settings).Define(s); new(common).define(s) }},
+	{"entry", func(s *settings.Set) { new(entry.Settings).Define(s); new(commonSettings).define(s) }},
+	{"agent", func(s *settings.Set) { new(agent.Settings).Define(s); new(commonSettings).define(s) }},
 	{"platform entry", func(s *settings.Set) { new(platformFlags).definePolicies(s); new(platformFlags).define(s) }},
 	{"platform agent", func(s *settings.Set) { new(platformFlags).define(s) }},
 }
@@ -34,7 +34,7 @@
 	}
 }
 
-// writeSettings writes docs/SETTINGS.md.
+// writeSettings writes the content of docs/SETTINGS.md.
 func writeSettings(w io.Writer) {
 	fmt.Fprint(w, `# Settings
 
--- a/cli/settings_test.go
+++ b/cli/settings_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestSettingsPage holds docs/SETTINGS.md to the code.
+// docs/SETTINGS.md must match the output of rackspur settings.
 func TestSettingsPage(t *testing.T) {
 	var want bytes.Buffer
 	writeSettings(&want)
@@ -19,7 +19,7 @@
 	}
 }
 
-// TestWrongSettingsEndWithUsage has a role started with several wrong settings.
+// Every invalid setting must be named, and the exit code must be ExitUsage.
 func TestWrongSettingsEndWithUsage(t *testing.T) {
 	var out, errOut bytes.Buffer
 	code := Main([]string{"agent", "--slots", "many", "--listen", "here", "--target-url", "x"}, nil, &out, &errOut)
@@ -28,7 +28,7 @@
 	}
 	for _, name := range []string{"slots=", "listen=", "target-url=", "target=", "domain=", "platform="} {
 		if !bytes.Contains(errOut.Bytes(), []byte(name)) {
-			t.Errorf("%s is not named in: %s", name, errOut.String())
+			t.Errorf("%s is not reported in: %s", name, errOut.String())
 		}
 	}
 }
--- a/cli/standin.go
+++ b/cli/standin.go
@@ -84,11 +84,11 @@
 	return cmd
 }
 
-// platformConnections is the number of connections that the stand-in of the
-// platform takes.
+// platformConnections bounds the concurrent connections to the stand-in of the
+// platform.
 const platformConnections = 10_000
 
-// serveHTTP serves a handler over a bounded number of connections until ctx ends.
+// serveHTTP serves a handler over a bounded number of connections until ctx is done.
 func serveHTTP(ctx context.Context, listen string, connections int, h http.Handler) error {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
--- a/cli/submit.go
+++ b/cli/submit.go
@@ -18,15 +18,15 @@
 	"rackspur/settings"
 )
 
-// callerSettings are what a caller needs to know.
-type callerSettings struct {
+// submitSettings holds the settings of "rackspur submit".
+type submitSettings struct {
 	entries string
 	token   string
 	timeout time.Duration
 	output  string
 }
 
-func (s *callerSettings) define(fs *pflag.FlagSet) *settings.Set {
+func (s *submitSettings) define(fs *pflag.FlagSet) *settings.Set {
 	set := settings.NewSet(fs)
 	set.String(&s.entries, "entry", "http://127.0.0.1:8080", "base URLs of entry boxes, separated by commas")
 	set.String(&s.token, "token", "", "credentials: member:secret").Require()
@@ -36,8 +36,8 @@
 }
 
 func newSubmit() *cobra.Command {
-	var s callerSettings
-	var c common
+	var s submitSettings
+	var c commonSettings
 	cmd := &cobra.Command{
 		Use:   "submit [FILE]",
 		Short: "Send a job and print its whole answer",
@@ -57,7 +57,7 @@
 		if err != nil {
 			return err
 		}
-		flush, err := observe.StartTracing(cmd.Context(), observe.TraceExporter(c.trace), c.traceTo, "caller", cmd.ErrOrStderr())
+		flush, err := observe.StartTracing(cmd.Context(), observe.TraceExporter(c.trace), c.traceEndpoint, "caller", cmd.ErrOrStderr())
 		if err != nil {
 			return err
 		}
@@ -67,7 +67,7 @@
 	return cmd
 }
 
-// readJob reads the job and checks that it is one JSON object.
+// readJob reads a job from a file or from in and checks that it can be parsed.
 func readJob(in io.Reader, args []string) ([]byte, error) {
 	var text []byte
 	var err error
@@ -81,12 +81,12 @@
 	}
 	var job api.Job
 	if err := json.Unmarshal(text, &job); err != nil {
-		return nil, exitWith(ExitUsage, "job: not a job in JSON: %v", err)
+		return nil, exitWith(ExitUsage, "job: cannot be parsed: %v", err)
 	}
 	return text, nil
 }
 
-func submit(cmd *cobra.Command, s *callerSettings, job []byte) error {
+func submit(cmd *cobra.Command, s *submitSettings, job []byte) error {
 	ctx, span := observe.Span(cmd.Context(), "caller.submit")
 	defer span.End()
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
@@ -96,21 +96,21 @@
 	defer stop()
 	ids, refused, err := client.IDs(ctx, 1)
 	if err != nil {
-		return exitWith(ExitUnknown, "no id could be got, nothing was sent: %v", err)
+		return exitWith(ExitUnknown, "requesting an id: %v; nothing was sent", err)
 	}
 	if refused != nil {
-		return report(cmd, s, refused)
+		return printReply(cmd, s, refused)
 	}
 	reply, err := client.SubmitRaw(ctx, ids[0], job)
 	stop()
 	if err != nil {
-		return exitWith(ExitUnknown, "outcome of %s unknown: %v", ids[0], err)
+		return exitWith(ExitUnknown, "outcome of submission %s unknown: %v", ids[0], err)
 	}
-	return report(cmd, s, reply)
+	return printReply(cmd, s, reply)
 }
 
-// report prints a reply and returns the error that goes with its outcome.
-func report(cmd *cobra.Command, s *callerSettings, r *caller.Reply) error {
+// printReply prints a reply and returns an error with the exit code of its outcome.
+func printReply(cmd *cobra.Command, s *submitSettings, r *caller.Reply) error {
 	out := cmd.OutOrStdout()
 	if r.Answer != nil {
 		printAnswer(out, s.output, r.Answer)
@@ -126,7 +126,7 @@
 	case api.Failed, api.Forgotten:
 		return exitWith(ExitFailed, "failed: %s %s", p.Reason, p.Detail)
 	case api.NotRun:
-		return exitWith(ExitNotRun, "not run: %s %s (come back in %d ms)", p.Reason, p.Detail, p.RetryAfterMS)
+		return exitWith(ExitNotRun, "not run: %s %s (retry after %d ms)", p.Reason, p.Detail, p.RetryAfterMS)
 	case api.Unknown:
 		return exitWith(ExitUnknown, "outcome unknown: %s %s", p.Reason, p.Detail)
 	}
@@ -154,27 +154,27 @@
 	_ = enc.Encode(v)
 }
 
-// progressPause is the time between two signs of progress on a terminal.
-const progressPause = time.Second
+// progressInterval is the interval at which the progress line is updated.
+const progressInterval = time.Second
 
-// showProgress tells on a terminal that the command still waits. The function
-// that it returns ends this and may be called twice.
+// showProgress prints the elapsed waiting time to w if it is a terminal, until the
+// returned function is called. That function may be called more than once.
 func showProgress(w io.Writer) func() {
 	f, ok := w.(*os.File)
 	if !ok || !isTerminal(f) {
 		return func() {}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	begun := time.Now()
+	start := time.Now()
 	go func() {
-		ticker := time.NewTicker(progressPause)
+		ticker := time.NewTicker(progressInterval)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-ctx.Done():
 				return
 			case <-ticker.C:
-				fmt.Fprintf(f, "\rwaiting for the answer, %s", time.Since(begun).Round(time.Second))
+				fmt.Fprintf(f, "\rwaiting for the answer, %s", time.Since(start).Round(time.Second))
 			}
 		}
 	}()
