--- a/load/arrivals.go
+++ b/load/arrivals.go
@@ -9,25 +9,25 @@
 	"rackspur/api"
 )
 
-// arrival is one submission of the load with its time.
+// arrival is a submission and the time at which it is due.
 type arrival struct {
 	at   time.Duration
 	kind *Kind
 	job  *api.Job
-	// runs are the run times of the tasks, longest and work their largest and sum.
+	// runs holds the run times of the tasks, longest their maximum and work their sum.
 	runs          []time.Duration
 	longest, work time.Duration
 }
 
-// payload is what the stand-in targets understand of a task.
+// payload is the task payload that the stand-in targets read.
 type payload struct {
 	MS  int `json:"ms"`
 	Job int `json:"job"`
 	Of  int `json:"of"`
 }
 
-// arrivals draws the whole load in advance, the same for the same seed. Each
-// kind arrives by a Poisson process of its own.
+// arrivals generates the whole load, sorted by time. The same seed generates the
+// same load. Each kind arrives by its own Poisson process.
 func (s *Scenario) arrivals() []arrival {
 	rng := rand.New(rand.NewPCG(s.Seed, s.Seed))
 	shares := 0.0
@@ -39,7 +39,7 @@
 		k := &s.Kinds[i]
 		rate := s.Rate() * k.Share / shares
 		for at := time.Duration(0); ; {
-			gap := rng.ExpFloat64() / (rate * s.factor(k.Name, at))
+			gap := rng.ExpFloat64() / (rate * s.burstFactor(k.Name, at))
 			at += time.Duration(gap * float64(time.Second))
 			if at >= s.Duration {
 				break
@@ -49,12 +49,12 @@
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].at < list[j].at })
 	for i := range list {
-		list[i].fill(i)
+		list[i].setPayloads(i)
 	}
 	return list
 }
 
-// draw makes the job of one arrival.
+// draw returns an arrival with a job of random size and run times.
 func (k *Kind) draw(rng *rand.Rand, at time.Duration) arrival {
 	a := arrival{at: at, kind: k, job: &api.Job{Kind: k.Name, DeadlineMS: k.DeadlineMS}}
 	for range k.Tasks[0] + rng.IntN(k.Tasks[1]-k.Tasks[0]+1) {
@@ -71,8 +71,8 @@
 	return a
 }
 
-// fill writes the payloads, which differ from those of all other jobs.
-func (a *arrival) fill(number int) {
+// setPayloads sets the payloads, which are unique across jobs and tasks.
+func (a *arrival) setPayloads(number int) {
 	for i := range a.job.Tasks {
 		t := &a.job.Tasks[i]
 		t.Payload, _ = json.Marshal(payload{MS: t.ExpectMS, Job: number, Of: i})
@@ -80,8 +80,8 @@
 	}
 }
 
-// ideal is the lower bound of the response time: one round trip of the caller
-// and the larger of the longest task and the work divided by all slots.
+// ideal returns the lower bound of the response time: the caller's round trip plus
+// the longest task or the work divided by all slots, whichever is larger.
 func (a *arrival) ideal(s *Scenario) time.Duration {
 	return s.RTT + max(a.longest, a.work/time.Duration(s.Slots))
 }
--- a/load/bound/bound_test.go
+++ b/load/bound/bound_test.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// one is a scenario of one kind whose jobs have a single task of a fixed size, on
-// one target with room for some of them.
-func one(room int, rate float64) *Scenario {
+// singleTaskScenario returns a scenario with one target and one kind of job, with a
+// single task of fixed size.
+func singleTaskScenario(cpu int, rate float64) *Scenario {
 	return &Scenario{
 		Duration: 10 * time.Second,
-		Targets:  []Targets{{Count: 1, CPU: room, Speed: 1}},
+		Targets:  []Targets{{Count: 1, CPU: cpu, Speed: 1}},
 		Kinds:    []Kind{{Name: "k", Rate: rate, WorkMS: 100, Width: 1, CPU: 1000, Worth: 1, Stretch: 1.6, LatencyMS: 60}},
 	}
 }
 
 func TestPlay(t *testing.T) {
 	for _, order := range []Order{OrderSlack, OrderWorth} {
-		light := one(100_000, 10).Play(1, 1, order, 0)["k"]
+		light := singleTaskScenario(100_000, 10).Play(1, 1, order, 0)["k"]
 		if light.Jobs == 0 || light.InTime != light.Jobs || light.Earned != light.Worth {
-			t.Errorf("%s, room for all: %+v", order, light)
+			t.Errorf("%s, enough capacity: %+v", order, light)
 		}
-		// Room for one task of 100 ms at a time: 10 a second of 40.
-		heavy := one(1000, 40).Play(1, 1, order, 0)["k"]
+		// One task of 100 ms runs at a time: 10 of the 40 jobs per second.
+		heavy := singleTaskScenario(1000, 40).Play(1, 1, order, 0)["k"]
 		if heavy.InTime < 80 || heavy.InTime > 105 || heavy.Late != 0 || heavy.InTime+heavy.Dropped != heavy.Jobs {
-			t.Errorf("%s, a quarter of the room: %+v", order, heavy)
+			t.Errorf("%s, a quarter of the capacity: %+v", order, heavy)
 		}
-		dead := one(1000, 40).Play(1, 1, order, 100*time.Millisecond)["k"]
-		if dead.InTime > heavy.InTime*2/3 {
-			t.Errorf("%s: %d in time with every task's room held twice as long, %d without", order, dead.InTime, heavy.InTime)
+		delayed := singleTaskScenario(1000, 40).Play(1, 1, order, 100*time.Millisecond)["k"]
+		if delayed.InTime > heavy.InTime*2/3 {
+			t.Errorf("%s: %d in time when each task occupies its target twice as long, %d otherwise", order, delayed.InTime, heavy.InTime)
 		}
 	}
 }
--- a/load/bound/scenario.go
+++ b/load/bound/scenario.go
@@ -1,6 +1,5 @@
-// Package bound tells how much of a load could be served at best: it plays jobs
-// against targets with one queue that sees everything and costs nothing. What
-// rackspur reaches is read beside it.
+// Package bound estimates how much of a load could be served at best. It simulates
+// the load on a set of targets with one central queue that has no overhead.
 package bound
 
 import (
@@ -19,7 +18,7 @@
 //go:embed rating.yaml
 var shipped []byte
 
-// ErrScenario says that a scenario can't be used.
+// ErrScenario is returned for an invalid scenario.
 var ErrScenario = eris.New("bound: bad scenario")
 
 // Bounds of a scenario.
@@ -29,49 +28,49 @@
 	maxRate     = 100_000
 )
 
-// Scenario is a load and the targets that it is for.
+// Scenario describes a load and the targets that serve it.
 type Scenario struct {
-	// Duration is how long jobs arrive.
+	// Duration is the time during which jobs arrive.
 	Duration time.Duration `yaml:"duration"`
 	Targets  []Targets     `yaml:"targets"`
 	Kinds    []Kind        `yaml:"kinds"`
 }
 
-// Targets are some targets alike.
+// Targets describes a group of identical targets.
 type Targets struct {
 	Count int `yaml:"count"`
-	// CPU is the room of each, in thousandths of a core.
+	// CPU is the capacity of each target in thousandths of a core.
 	CPU int `yaml:"cpu"`
-	// Speed is how much faster than usual work is done there.
+	// Speed divides the run times of tasks; 1 is the usual speed.
 	Speed float64 `yaml:"speed"`
 }
 
-// Kind is a kind of job. Sizes are log-normal with a median and a spread, the
-// standard deviation of the logarithm.
+// Kind describes a kind of job. Sizes have a log-normal distribution with a median
+// and a spread, the standard deviation of the logarithm.
 type Kind struct {
 	Name string `yaml:"name"`
-	// Rate is how many jobs arrive a second, at random times.
+	// Rate is the mean number of jobs that arrive per second.
 	Rate float64 `yaml:"rate"`
-	// WorkMS is the run time of a task at usual speed.
+	// WorkMS is the run time of a task at usual speed in milliseconds.
 	WorkMS     float64 `yaml:"work_ms"`
 	WorkSpread float64 `yaml:"work_spread"`
 	// Width is the number of tasks of a job.
 	Width       float64 `yaml:"width"`
 	WidthSpread float64 `yaml:"width_spread"`
-	// CPU is what a task takes, in thousandths of a core.
+	// CPU is the demand of a task in thousandths of a core.
 	CPU       float64 `yaml:"cpu"`
 	CPUSpread float64 `yaml:"cpu_spread"`
-	// Uneven is the spread of run times within a job.
+	// Uneven is the spread of the run times of a job's tasks.
 	Uneven float64 `yaml:"uneven"`
-	// Worth is what a job of the usual size earns in time; late it earns a fifth.
+	// Worth is the value of a job of the usual size that is in time.
 	Worth float64 `yaml:"worth"`
-	// Stretch and LatencyMS make a job's objective: Stretch times its run time and
-	// LatencyMS.
+	// Stretch and LatencyMS define a job's objective: Stretch times the median
+	// run time of its tasks plus LatencyMS, counted from its arrival.
 	Stretch   float64 `yaml:"stretch"`
 	LatencyMS float64 `yaml:"latency_ms"`
 }
 
-// Read returns the scenario in a file, or the shipped one for the name "rating".
+// Read returns the scenario in a file, or the shipped one if name is "rating".
 func Read(name string) (*Scenario, error) {
 	data := shipped
 	if name != "rating" {
@@ -91,17 +90,17 @@
 
 func (s *Scenario) check() error {
 	if s.Duration <= 0 || s.Duration > maxDuration {
-		return eris.Wrapf(ErrScenario, "duration %v: want more than 0, at most %v", s.Duration, maxDuration)
+		return eris.Wrapf(ErrScenario, "duration %v is not above 0 and at most %v", s.Duration, maxDuration)
 	}
 	count := 0
 	for i, t := range s.Targets {
 		if t.Count < 1 || t.CPU < 1 || t.Speed <= 0 {
-			return eris.Wrapf(ErrScenario, "targets %d: count, cpu and speed must be above 0", i)
+			return eris.Wrapf(ErrScenario, "targets[%d]: count, cpu and speed must be above 0", i)
 		}
 		count += t.Count
 	}
 	if count == 0 || count > maxTargets {
-		return eris.Wrapf(ErrScenario, "%d targets: want 1 to %d", count, maxTargets)
+		return eris.Wrapf(ErrScenario, "%d targets: must be 1 to %d", count, maxTargets)
 	}
 	for _, k := range s.Kinds {
 		if k.Rate <= 0 || k.Rate > maxRate || k.WorkMS <= 0 || k.Width < 1 || k.CPU < 1 || k.Stretch < 1 || k.Worth <= 0 {
@@ -114,24 +113,29 @@
 	return nil
 }
 
-// job is a job of a played load.
+// job is a job of a simulated load. Times are in milliseconds since its start.
 type job struct {
 	kind    *Kind
 	arrived float64
 	cpu     int
-	// tasks are run times at usual speed, in milliseconds.
+	// tasks holds the run times at usual speed.
 	tasks []float64
-	// objective is when the job should have ended, worthless when it earns nothing.
-	objective, worthless float64
-	// startBy is when its last task must start for the job to be in time.
+	// A job that ends after objective is late; one that ends after worthlessAt earns
+	// nothing.
+	objective, worthlessAt float64
+	// startBy is the latest time at which the longest task can start at usual speed
+	// for the job to be in time.
 	startBy float64
 	worth   float64
-	waiting int
-	left    int
-	ended   float64
+	// unstarted and unfinished count the tasks that have not started or ended.
+	unstarted  int
+	unfinished int
+	// ended is 0 until the last task has ended.
+	ended float64
 }
 
-// arrivals draws the jobs of a load whose rates are multiplied by a factor.
+// arrivals generates the jobs of a load, sorted by time. Rates are multiplied by
+// the factor.
 func (s *Scenario) arrivals(factor float64, seed uint64) []*job {
 	r := rand.New(rand.NewPCG(seed, seed))
 	var all []*job
@@ -159,7 +163,7 @@
 func (k *Kind) draw(r *rand.Rand, at float64) *job {
 	work := logNormal(r, k.WorkMS, k.WorkSpread)
 	n := max(1, int(math.Round(logNormal(r, k.Width, k.WidthSpread))))
-	j := &job{kind: k, arrived: at, cpu: int(logNormal(r, k.CPU, k.CPUSpread)), waiting: n, left: n}
+	j := &job{kind: k, arrived: at, cpu: int(logNormal(r, k.CPU, k.CPUSpread)), unstarted: n, unfinished: n}
 	longest, total := 0.0, 0.0
 	for range n {
 		t := logNormal(r, work, k.Uneven)
@@ -167,21 +171,22 @@
 		total += t
 		j.tasks = append(j.tasks, t)
 	}
-	span := k.Stretch*work + k.LatencyMS
-	j.objective = at + span
-	j.worthless = at + worthlessAfter*span
+	allowed := k.Stretch*work + k.LatencyMS
+	j.objective = at + allowed
+	j.worthlessAt = at + worthlessFactor*allowed
 	j.startBy = j.objective - longest
 	usual := k.WorkMS * k.Width * k.CPU
-	j.worth = k.Worth * min(mostWorth, 0.3+0.7*total*float64(j.cpu)/usual)
+	j.worth = k.Worth * min(maxWorthFactor, 0.3+0.7*total*float64(j.cpu)/usual)
 	return j
 }
 
-// Figures of what jobs earn.
+// Factors of a job's value.
 const (
-	// worthlessAfter is after how many times its objective a job earns nothing.
-	worthlessAfter = 3
-	// lateShare is what part of its worth a late job earns.
+	// worthlessFactor is the multiple of its objective after which a job earns
+	// nothing.
+	worthlessFactor = 3
+	// lateShare is the share of its worth that a late job earns.
 	lateShare = 0.2
-	// mostWorth is how many times the usual worth a large job earns at most.
-	mostWorth = 4
+	// maxWorthFactor caps the worth of a large job as a multiple of the kind's worth.
+	maxWorthFactor = 4
 )
--- a/load/bound/play.go
+++ b/load/bound/simulation.go
@@ -6,23 +6,22 @@
 	"time"
 )
 
-// Order says which of two waiting jobs comes first.
+// Order is the order in which waiting jobs are dispatched.
 type Order string
 
-// The orders.
+// Both orders put the jobs that can still be in time first.
 const (
-	// OrderSlack: jobs that can be in time, of these the begun ones, then the one
-	// that must start first.
+	// OrderSlack orders jobs by whether they have started, then by the latest start
+	// that is in time.
 	OrderSlack Order = "slack"
-	// OrderWorth: jobs that can be in time, of these the ones that earn most for
-	// each core-second.
+	// OrderWorth orders jobs by their worth per core-second, highest first.
 	OrderWorth Order = "worth"
 )
 
-// Outcome is what became of a played load.
+// Outcome holds the results of a simulated load.
 type Outcome struct {
 	Jobs, InTime, Late, Dropped int
-	// Worth is what all jobs could earn, Earned what they did.
+	// Worth is the worth of all jobs, Earned the part that they earned.
 	Worth, Earned float64
 }
 
@@ -36,11 +35,11 @@
 	o.Earned += other.Earned
 }
 
-// Play plays a load with its rates multiplied by a factor and returns what became
-// of the jobs by the name of their kind. Dead is how long each task holds its room
-// beyond its run.
-func (s *Scenario) Play(factor float64, seed uint64, order Order, dead time.Duration) map[string]Outcome {
-	p := &play{order: order, dead: float64(dead.Microseconds()) / 1000}
+// Play simulates the load with its rates multiplied by a factor and returns the
+// outcome of each kind by name. Each task occupies its target for deadTime
+// after its run.
+func (s *Scenario) Play(factor float64, seed uint64, order Order, deadTime time.Duration) map[string]Outcome {
+	p := &simulation{order: order, deadTime: float64(deadTime.Microseconds()) / 1000}
 	for _, t := range s.Targets {
 		for range t.Count {
 			p.targets = append(p.targets, &target{Targets: t, free: t.CPU})
@@ -51,7 +50,7 @@
 		heap.Push(&p.events, event{at: j.arrived, job: j})
 	}
 	for len(p.events) > 0 {
-		p.take(heap.Pop(&p.events).(event))
+		p.handle(heap.Pop(&p.events).(event))
 	}
 	outcomes := map[string]Outcome{}
 	for _, j := range jobs {
@@ -65,7 +64,7 @@
 func (j *job) outcome() Outcome {
 	o := Outcome{Jobs: 1, Worth: j.worth}
 	switch {
-	case j.ended == 0 || j.ended > j.worthless:
+	case j.ended == 0 || j.ended > j.worthlessAt:
 		o.Dropped = 1
 	case j.ended > j.objective:
 		o.Late = 1
@@ -77,47 +76,47 @@
 	return o
 }
 
-// target is a target while a load is played.
+// target is a simulated target.
 type target struct {
 	Targets
 	free int
 }
 
-// event is the arrival of a job, or with a target the end of one of its tasks.
+// event is the arrival of a job or, if target is set, the end of one of its tasks.
 type event struct {
 	at     float64
 	job    *job
 	target *target
 }
 
-// play is a load being played.
-type play struct {
-	order   Order
-	dead    float64
-	targets []*target
-	events  eventHeap
-	waiting []*job
+// simulation is the state of a simulation.
+type simulation struct {
+	order    Order
+	deadTime float64
+	targets  []*target
+	events   eventHeap
+	waiting  []*job
 }
 
-func (p *play) take(e event) {
+func (p *simulation) handle(e event) {
 	if e.target == nil {
 		p.waiting = append(p.waiting, e.job)
 	} else {
 		e.target.free += e.job.cpu
-		e.job.left--
-		if e.job.left == 0 {
+		e.job.unfinished--
+		if e.job.unfinished == 0 {
 			e.job.ended = e.at
 		}
 	}
 	p.dispatch(e.at)
 }
 
-// dispatch starts what fits. A job of which nothing has started is dropped once
-// it can't be in time, any other once it earns nothing.
-func (p *play) dispatch(now float64) {
+// dispatch starts as many tasks as fit. A job is dropped once it earns nothing or,
+// if none of its tasks has started, once it can't be in time.
+func (p *simulation) dispatch(now float64) {
 	p.waiting = slices.DeleteFunc(p.waiting, func(j *job) bool {
-		begun := j.waiting < len(j.tasks)
-		return j.waiting == 0 || now > j.worthless || (!begun && now > j.startBy)
+		started := j.unstarted < len(j.tasks)
+		return j.unstarted == 0 || now > j.worthlessAt || (!started && now > j.startBy)
 	})
 	slices.SortStableFunc(p.waiting, func(a, b *job) int {
 		if p.before(now, a, b) {
@@ -129,13 +128,13 @@
 		return 0
 	})
 	for _, j := range p.waiting {
-		for j.waiting > 0 && p.start(now, j) {
-			j.waiting--
+		for j.unstarted > 0 && p.start(now, j) {
+			j.unstarted--
 		}
 	}
 }
 
-func (p *play) before(now float64, a, b *job) bool {
+func (p *simulation) before(now float64, a, b *job) bool {
 	aLate, bLate := now > a.startBy, now > b.startBy
 	if aLate != bLate {
 		return !aLate
@@ -143,20 +142,21 @@
 	if p.order == OrderWorth {
 		return a.density() > b.density()
 	}
-	aBegun, bBegun := a.waiting < len(a.tasks), b.waiting < len(b.tasks)
-	if aBegun != bBegun {
-		return aBegun
+	aStarted, bStarted := a.unstarted < len(a.tasks), b.unstarted < len(b.tasks)
+	if aStarted != bStarted {
+		return aStarted
 	}
 	return a.startBy < b.startBy
 }
 
-// density is what the job's kind earns for each core-second.
+// density returns the worth of the job's kind per core-second.
 func (j *job) density() float64 {
 	return j.kind.Worth / (j.kind.WorkMS * j.kind.Width * j.kind.CPU)
 }
 
-// start starts the job's next task where the largest part of the room is free.
-func (p *play) start(now float64, j *job) bool {
+// start starts the job's next task on the target with the largest share of free
+// capacity. It returns false if none has enough.
+func (p *simulation) start(now float64, j *job) bool {
 	var best *target
 	for _, t := range p.targets {
 		if t.free >= j.cpu && (best == nil || t.free*best.CPU > best.free*t.CPU) {
@@ -167,12 +167,12 @@
 		return false
 	}
 	best.free -= j.cpu
-	run := j.tasks[len(j.tasks)-j.waiting] / best.Speed
-	heap.Push(&p.events, event{at: now + run + p.dead, job: j, target: best})
+	run := j.tasks[len(j.tasks)-j.unstarted] / best.Speed
+	heap.Push(&p.events, event{at: now + run + p.deadTime, job: j, target: best})
 	return true
 }
 
-// eventHeap implements heap.Interface, the earliest event first.
+// eventHeap is a min-heap of events by time.
 type eventHeap []event
 
 // Len implements sort.Interface.Len.
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -20,7 +20,7 @@
 		}
 		list := s.arrivals()
 		if !reflect.DeepEqual(list, s.arrivals()) {
-			t.Errorf("%s: the same seed draws another load", name)
+			t.Errorf("%s: the same seed generates a different load", name)
 		}
 		s.Bursts = nil
 		work := time.Duration(0)
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestReference has two tasks of 100 ms arrive at one slot at the same time.
+// Two tasks of 100 ms that arrive together must run one after the other on one slot.
 func TestReference(t *testing.T) {
 	s := &Scenario{Slots: 1, RTT: 10 * time.Millisecond}
 	run := 100 * time.Millisecond
--- a/load/plot.go
+++ b/load/plot.go
@@ -12,24 +12,25 @@
 	"rackspur/api"
 )
 
-// ErrPlot says that a plot can't be drawn.
+// ErrPlot is returned when a plot can't be drawn.
 var ErrPlot = eris.New("load: plot")
 
-// Size of a plot, and the largest ratio that it shows.
+// Size of a plot and the largest ratio on it.
 const (
-	plotWidth  = 18 * vg.Centimeter
-	plotHeight = 11 * vg.Centimeter
-	plotMost   = 5.0
+	plotWidth    = 18 * vg.Centimeter
+	plotHeight   = 11 * vg.Centimeter
+	plotMaxRatio = 5.0
 )
 
-// WritePlot draws for each kind which share of its complete submissions took at
-// most how many times the ideal. The file's ending tells the form: png or svg.
+// WritePlot plots, for each kind, the cumulative distribution of response time
+// divided by the ideal over complete submissions. The extension of the file, .png
+// or .svg, selects the format.
 func (r *Report) WritePlot(file string) error {
 	p := plot.New()
 	p.Title.Text = "Response time against the ideal: " + r.Scenario
 	p.X.Label.Text = "response time / ideal"
 	p.Y.Label.Text = "share of submissions"
-	p.X.Min, p.X.Max = 1, plotMost
+	p.X.Min, p.X.Max = 1, plotMaxRatio
 	p.Y.Min, p.Y.Max = 0, 1
 	p.Legend.Left = false
 	p.Add(plotter.NewGrid())
@@ -49,7 +50,8 @@
 	return nil
 }
 
-// curve returns the cumulative distribution of the ratios of a kind.
+// curve returns the cumulative distribution of a kind's ratios. Ratios above
+// plotMaxRatio are clipped.
 func (r *Report) curve(kind string) plotter.XYs {
 	var ratios []float64
 	for _, s := range r.samples {
@@ -60,7 +62,7 @@
 	sort.Float64s(ratios)
 	points := make(plotter.XYs, len(ratios))
 	for i, v := range ratios {
-		points[i].X = min(v, plotMost)
+		points[i].X = min(v, plotMaxRatio)
 		points[i].Y = float64(i+1) / float64(len(ratios))
 	}
 	return points
--- a/load/reference.go
+++ b/load/reference.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// reference returns the ratios that a central queue without any latency or
-// message would reach with the same arrivals: each task starts in the order of
-// arrival on the first free slot. It tells how much of a missed target is due to
-// the load itself.
+// reference simulates a central queue without latency on the same arrivals: tasks
+// start in order of arrival on the first free slot. It shows how much of the
+// response time is due to the load itself.
 func (s *Scenario) reference(list []arrival) []sample {
 	slots := make(timeHeap, s.Slots)
 	samples := make([]sample, len(list))
@@ -26,7 +25,7 @@
 	return samples
 }
 
-// timeHeap holds for each slot the time at which it is free.
+// timeHeap is a min-heap of the times at which the slots become free.
 type timeHeap []time.Duration
 
 func (h timeHeap) Len() int           { return len(h) }
--- a/load/report.go
+++ b/load/report.go
@@ -12,47 +12,50 @@
 	"rackspur/api"
 )
 
-// Bounds of the histograms: ratios in thousandths, up to a thousand fold.
+// Unit, maximum and significant digits of the histograms. Ratios are recorded in
+// thousandths.
 const (
 	ratioUnit   = 1000
-	ratioMost   = 1000 * ratioUnit
+	maxRatio    = 1000 * ratioUnit
 	ratioDigits = 3
 )
 
-// Report is what a load measured.
+// Report holds the measurements of a load.
 type Report struct {
 	Scenario string  `json:"scenario"`
 	Load     float64 `json:"load"`
-	// Seconds is the time from the first arrival to the last answer.
+	// Seconds is the duration of the run, up to the last answer.
 	Seconds float64 `json:"seconds"`
-	// Offered and Done are the work that arrived and that was answered whole,
-	// as shares of the slots over the time in which submissions arrived.
+	// Offered and Done are the work of all submissions and that of complete ones as
+	// shares of the slots. Offered counts over the scenario's duration, Done until the
+	// last complete answer if that is later.
 	Offered float64 `json:"offered"`
 	Done    float64 `json:"done"`
-	// Wrong counts answers that were not the whole answer to their own job.
+	// Wrong counts answers whose results don't match the job.
 	Wrong int          `json:"wrong"`
 	Kinds []KindReport `json:"kinds"`
-	// Reference is what a central queue without latency would reach.
+	// Reference is the distribution of ratios with a central queue without latency.
 	Reference Spread `json:"reference"`
 
 	samples []sample
 }
 
-// KindReport is the part of a report about one kind of request, or all.
+// KindReport is the part of a report about one kind of request or all kinds.
 type KindReport struct {
 	Kind     string         `json:"kind"`
 	Sent     int            `json:"sent"`
 	Tasks    int            `json:"tasks"`
 	Outcomes map[string]int `json:"outcomes"`
-	// Ratio is the response time divided by the ideal, of complete submissions.
+	// Ratio is the response time of complete submissions divided by the ideal.
 	Ratio Spread `json:"ratio"`
-	// ResponseMS is the response time in milliseconds of complete submissions.
+	// ResponseMS is the response time of complete submissions in milliseconds.
 	ResponseMS Spread `json:"response_ms"`
-	// RefusedMS is the time to a refusal in milliseconds.
+	// RefusedMS is the response time in milliseconds of submissions that were not
+	// run.
 	RefusedMS Spread `json:"refused_ms"`
 }
 
-// Spread sums up a distribution.
+// Spread holds the mean and percentiles of a distribution.
 type Spread struct {
 	Mean float64 `json:"mean"`
 	P50  float64 `json:"p50"`
@@ -60,7 +63,7 @@
 	P999 float64 `json:"p999"`
 }
 
-// allKinds is the name of the row about all kinds together.
+// allKinds is the name of the KindReport about all kinds.
 const allKinds = "all"
 
 func (r *runner) report(list []arrival, took time.Duration) *Report {
@@ -69,7 +72,8 @@
 	for _, a := range list {
 		rep.Offered += a.work.Seconds() / capacity
 	}
-	// Work that is answered after the last arrival counts over the longer time.
+	// Done counts work answered after the last arrival, so it is a share of the
+	// longer time.
 	capacity = max(capacity, r.lastDone().Seconds()*float64(r.scenario.Slots))
 	byKind := map[string][]sample{}
 	for _, s := range r.samples {
@@ -94,7 +98,7 @@
 	return rep
 }
 
-// lastDone returns when the last complete answer came.
+// lastDone returns the time of the last complete answer.
 func (r *runner) lastDone() time.Duration {
 	last := time.Duration(0)
 	for _, s := range r.samples {
@@ -131,11 +135,11 @@
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, ratioMost*100, ratioDigits)
+	return hdrhistogram.New(1, maxRatio*100, ratioDigits)
 }
 
 func record(h *hdrhistogram.Histogram, v int64) {
-	_ = h.RecordValue(max(1, min(v, ratioMost*100)))
+	_ = h.RecordValue(max(1, min(v, maxRatio*100)))
 }
 
 func spread(h *hdrhistogram.Histogram) Spread {
--- a/load/run.go
+++ b/load/run.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// idBatch is how many ids are asked for at a time when none is left.
+	// idBatch is the number of ids requested when a pool is empty.
 	idBatch = 64
-	// patience is how long after the last arrival answers are waited for.
-	patience = 60 * time.Second
+	// submitTimeout bounds the time to submit a job and wait for its answer.
+	submitTimeout = 60 * time.Second
 )
 
-// ErrRun says that the load could not be sent at all.
+// ErrRun is returned when a load can't be sent.
 var ErrRun = eris.New("load: can't run")
 
-// Options say where a load goes.
+// Options holds the entry boxes and credentials of a run.
 type Options struct {
 	// Entries are the base URLs of the entry boxes.
 	Entries []string
-	// Tokens holds the credentials "member:secret" of each member.
+	// Tokens maps each member to its credentials, "member:secret".
 	Tokens map[string]string
 }
 
@@ -44,7 +44,7 @@
 	wrong    bool
 }
 
-// idPool holds fresh ids of one member. Answers put theirs in.
+// idPool holds unused ids of one member, including those returned with answers.
 type idPool struct {
 	mu  sync.Mutex
 	ids []string
@@ -72,7 +72,7 @@
 	}
 }
 
-// runner sends one load.
+// runner sends a load and collects its samples.
 type runner struct {
 	scenario *Scenario
 	clients  map[string][]*caller.Client
@@ -82,9 +82,9 @@
 	samples []sample
 }
 
-// Run sends the load of a scenario and returns the report. Submissions start at
-// their times whatever became of the earlier ones, and each response time counts
-// from the time at which the submission was due.
+// Run sends the load of a scenario and returns the report. The load is open-loop:
+// submissions don't wait for earlier ones, and response times count from the time
+// at which a submission was due.
 func Run(ctx context.Context, s *Scenario, o Options) (*Report, error) {
 	r := &runner{scenario: s, clients: map[string][]*caller.Client{}, pools: map[string]*idPool{}}
 	for _, k := range s.Kinds {
@@ -104,9 +104,9 @@
 		}
 	}
 	list := s.arrivals()
-	begun := time.Now()
-	r.send(ctx, list, begun)
-	return r.report(list, time.Since(begun)), nil
+	start := time.Now()
+	r.send(ctx, list, start)
+	return r.report(list, time.Since(start)), nil
 }
 
 func (r *runner) refill(ctx context.Context, member string, i int) error {
@@ -116,27 +116,27 @@
 		return eris.Wrap(ErrRun, err.Error())
 	}
 	if refused != nil {
-		return eris.Wrapf(ErrRun, "ids: %s", refused.Problem.Detail)
+		return eris.Wrapf(ErrRun, "requesting ids: %s", refused.Problem.Detail)
 	}
 	r.pools[member].put(ids...)
 	return nil
 }
 
-func (r *runner) send(ctx context.Context, list []arrival, begun time.Time) {
+func (r *runner) send(ctx context.Context, list []arrival, start time.Time) {
 	var wg sync.WaitGroup
 	for i := range list {
 		select {
 		case <-ctx.Done():
 			wg.Wait()
 			return
-		case <-time.After(time.Until(begun.Add(list[i].at))):
+		case <-time.After(time.Until(start.Add(list[i].at))):
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			ctx, cancel := context.WithTimeout(ctx, patience)
+			ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 			defer cancel()
-			r.add(r.one(ctx, i, &list[i], begun))
+			r.add(r.submit(ctx, i, &list[i], start))
 		}()
 	}
 	wg.Wait()
@@ -148,10 +148,10 @@
 	r.samples = append(r.samples, s)
 }
 
-// one sends one submission and measures it.
-func (r *runner) one(ctx context.Context, i int, a *arrival, begun time.Time) sample {
+// submit sends a submission and returns its measurement.
+func (r *runner) submit(ctx context.Context, i int, a *arrival, start time.Time) sample {
 	s := sample{kind: a.kind.Name, at: a.at, ideal: a.ideal(r.scenario), tasks: len(a.job.Tasks), work: a.work}
-	defer func() { s.response = time.Since(begun) - a.at }()
+	defer func() { s.response = time.Since(start) - a.at }()
 	member := a.kind.Member
 	id := r.pools[member].take()
 	for id == "" {
@@ -163,7 +163,7 @@
 	}
 	clients := r.clients[member]
 	reply, err := clients[i%len(clients)].Submit(ctx, id, a.job)
-	s.response = time.Since(begun) - a.at
+	s.response = time.Since(start) - a.at
 	if err != nil {
 		s.outcome = string(api.Unknown)
 		return s
@@ -174,12 +174,12 @@
 		s.reason = reply.Problem.Reason
 		return s
 	}
-	s.wrong = !belongs(a.job, reply.Answer)
+	s.wrong = !resultsMatch(a.job, reply.Answer)
 	return s
 }
 
-// belongs reports whether every result is the one of its own payload.
-func belongs(job *api.Job, a *api.Answer) bool {
+// resultsMatch reports whether each result matches the payload of its task.
+func resultsMatch(job *api.Job, a *api.Answer) bool {
 	if len(a.Results) != len(job.Tasks) {
 		return false
 	}
--- a/load/scenario.go
+++ b/load/scenario.go
@@ -1,5 +1,5 @@
-// Package load sends an open-loop load to entry boxes and reports response
-// times against the ideal. It is a client of real processes, not a simulator.
+// Package load sends an open-loop load to running entry boxes and reports response
+// times relative to the ideal.
 package load
 
 import (
@@ -17,7 +17,7 @@
 //go:embed scenarios/*.yaml
 var shipped embed.FS
 
-// ErrScenario says that a scenario can't be used.
+// ErrScenario is returned for an invalid scenario.
 var ErrScenario = eris.New("load: bad scenario")
 
 // Bounds of a scenario.
@@ -31,19 +31,19 @@
 // Scenario describes a load.
 type Scenario struct {
 	Name string `yaml:"name"`
-	// Seed makes arrivals, sizes and run times the same on every run.
+	// Seed is the seed of the random arrivals, sizes and run times.
 	Seed uint64 `yaml:"seed"`
-	// Duration bounds the time in which submissions arrive.
+	// Duration is the time during which submissions arrive.
 	Duration time.Duration `yaml:"duration"`
-	// Slots is the number of slots of all targets together.
+	// Slots is the total number of slots of all targets.
 	Slots int `yaml:"slots"`
 	// Load is the offered work as a share of the slots, 0.8 for 80%.
 	Load float64 `yaml:"load"`
-	// RTT is the round trip of a caller, part of the ideal.
+	// RTT is the round-trip time of a caller. It is part of the ideal.
 	RTT time.Duration `yaml:"rtt"`
-	// Kinds are the kinds of request with their shares.
+	// Kinds lists the kinds of request and their shares.
 	Kinds []Kind `yaml:"kinds"`
-	// Bursts raise the rate for a while.
+	// Bursts raise the rate temporarily.
 	Bursts []Burst `yaml:"bursts"`
 }
 
@@ -51,16 +51,17 @@
 type Kind struct {
 	Name   string `yaml:"name"`
 	Member string `yaml:"member"`
-	// Share is the share of the submissions, relative to the other kinds.
+	// Share is the kind's share of the submissions relative to the other kinds.
 	Share float64 `yaml:"share"`
-	// Tasks are the smallest and the largest size of a job.
+	// Tasks holds the smallest and the largest number of tasks of a job.
 	Tasks [2]int `yaml:"tasks"`
-	// MS are the shortest and the longest usual run time in milliseconds.
+	// MS holds the shortest and the longest run time in milliseconds, stragglers
+	// aside.
 	MS [2]int `yaml:"ms"`
 	// Straggler is the share of the tasks that run for StragglerMS.
 	Straggler   float64 `yaml:"straggler"`
 	StragglerMS int     `yaml:"straggler_ms"`
-	// DeadlineMS is the callers' deadline; 0 means the kind's own.
+	// DeadlineMS is the deadline of the submissions; 0 means the default of the kind.
 	DeadlineMS int `yaml:"deadline_ms"`
 }
 
@@ -73,19 +74,20 @@
 	Kind string `yaml:"kind"`
 }
 
-// Read returns the shipped scenario with the name, or the one in the file.
+// Read returns the shipped scenario with the given name or, if there is none, the
+// scenario in the file.
 func Read(name string) (*Scenario, error) {
 	text, err := shipped.ReadFile("scenarios/" + name + ".yaml")
 	if err != nil {
 		text, err = os.ReadFile(name)
 	}
 	if err != nil {
-		return nil, eris.Wrapf(ErrScenario, "%s is neither shipped nor a file", name)
+		return nil, eris.Wrapf(ErrScenario, "%s is neither a shipped scenario nor a readable file", name)
 	}
 	return Parse(text)
 }
 
-// Parse reads a scenario. Unknown fields are errors.
+// Parse parses and checks a scenario. Unknown fields are errors.
 func Parse(text []byte) (*Scenario, error) {
 	dec := yaml.NewDecoder(bytes.NewReader(text))
 	dec.KnownFields(true)
@@ -99,39 +101,40 @@
 	return &s, nil
 }
 
-// Check returns an ErrScenario that names every fault.
+// Check returns an ErrScenario that lists all faults, or nil.
 func (s *Scenario) Check() error {
-	var wrong []string
+	var faults []string
 	if s.Duration <= 0 || s.Duration > maxDuration {
-		wrong = append(wrong, "duration must be up to "+maxDuration.String())
+		faults = append(faults, "duration must be up to "+maxDuration.String())
 	}
 	if s.Slots < 1 {
-		wrong = append(wrong, "slots must be 1 or more")
+		faults = append(faults, "slots must be 1 or more")
 	}
 	if s.Load <= 0 || s.Load > 10 {
-		wrong = append(wrong, "load must be over 0 and up to 10")
+		faults = append(faults, "load must be over 0 and up to 10")
 	}
 	if len(s.Kinds) == 0 {
-		wrong = append(wrong, "kinds: at least one is needed")
+		faults = append(faults, "kinds: at least one is needed")
 	}
 	for _, k := range s.Kinds {
 		if k.Share <= 0 || k.Tasks[0] < 1 || k.Tasks[1] < k.Tasks[0] || k.Tasks[1] > maxTasks {
-			wrong = append(wrong, k.Name+": needs share > 0 and 1 <= tasks[0] <= tasks[1]")
+			faults = append(faults, k.Name+": needs share > 0 and 1 <= tasks[0] <= tasks[1]")
 		}
 		if k.MS[0] < 1 || k.MS[1] < k.MS[0] || k.MS[1] > maxTaskMS || k.StragglerMS > maxTaskMS {
-			wrong = append(wrong, k.Name+": needs 1 <= ms[0] <= ms[1]")
+			faults = append(faults, k.Name+": needs 1 <= ms[0] <= ms[1]")
 		}
 	}
-	if len(wrong) == 0 && s.Rate() > maxRate {
-		wrong = append(wrong, "more than the bound of submissions a second")
+	if len(faults) == 0 && s.Rate() > maxRate {
+		faults = append(faults, "more than the bound of submissions a second")
 	}
-	if len(wrong) > 0 {
-		return eris.Wrap(ErrScenario, strings.Join(wrong, "; "))
+	if len(faults) > 0 {
+		return eris.Wrap(ErrScenario, strings.Join(faults, "; "))
 	}
 	return nil
 }
 
-// Rate returns the submissions a second that offer the scenario's load.
+// Rate returns the number of submissions per second that offers the scenario's
+// load, without bursts.
 func (s *Scenario) Rate() float64 {
 	work, shares := 0.0, 0.0
 	for _, k := range s.Kinds {
@@ -150,8 +153,9 @@
 	return usual + k.Straggler*(float64(k.StragglerMS)-usual)
 }
 
-// factor returns by how much bursts raise the rate of a kind at a time.
-func (s *Scenario) factor(kind string, at time.Duration) float64 {
+// burstFactor returns the factor by which bursts multiply the rate of a kind at a
+// time.
+func (s *Scenario) burstFactor(kind string, at time.Duration) float64 {
 	f := 1.0
 	for _, b := range s.Bursts {
 		if (b.Kind == "" || b.Kind == kind) && at >= b.At && at < b.At+b.For {
