--- a/api/api.go
+++ b/api/api.go
@@ -1,5 +1,5 @@
-// Package api holds the messages of the callers' interface: HTTP with JSON
-// bodies, and problem details after RFC 9457 for everything but an answer.
+// Package api defines the messages of the callers' HTTP interface. Bodies are JSON;
+// errors are problem details (RFC 9457).
 package api
 
 import "encoding/json"
@@ -16,61 +16,64 @@
 	TypeProblem = "application/problem+json"
 )
 
-// ProblemPrefix starts the type of every problem; the reason follows.
+// ProblemPrefix is the prefix of every problem type. The reason follows it.
 const ProblemPrefix = "urn:rackspur:problem:"
 
-// Outcome says in one word what became of a submission.
+// Outcome is the outcome of a submission.
 type Outcome string
 
 // The outcomes.
 const (
 	Complete Outcome = "complete"
 	Failed   Outcome = "failed"
-	// NotRun means that no task started and none ever will under this id.
+	// NotRun means that no task has started and none will start under this id.
 	NotRun Outcome = "not-run"
-	// Unknown means: ask again with the same id.
+	// Unknown means that the outcome is not known. The caller should ask again with
+	// the same id.
 	Unknown Outcome = "unknown"
 	Running Outcome = "running"
-	// Unseen means that no job was sent under the id so far.
+	// Unseen means that no job has been submitted under the id.
 	Unseen Outcome = "unseen"
-	// Forgotten means that the outcome is no longer known.
+	// Forgotten means that the outcome is no longer stored.
 	Forgotten Outcome = "forgotten"
 )
 
-// TaskStatus says what became of a task.
+// TaskStatus is the status of a task.
 type TaskStatus string
 
-// The states of a task.
+// The task statuses.
 const (
 	TaskDone       TaskStatus = "done"
 	TaskNotStarted TaskStatus = "not-started"
 	TaskFailed     TaskStatus = "failed"
-	// TaskStarted means that the task started, or may have; nothing more is known.
+	// TaskStarted means that the task has or may have started and its result is
+	// unknown.
 	TaskStarted TaskStatus = "started"
 )
 
 // Task is one task of a job.
 type Task struct {
-	// Payload is given to the target as it is.
+	// Payload is passed to the target unchanged.
 	Payload json.RawMessage `json:"payload"`
-	// ExpectMS is the caller's estimate of the run time; 0 means none.
+	// ExpectMS is the caller's estimate of the run time in milliseconds; 0 means none.
 	ExpectMS int `json:"expect_ms,omitempty"`
 }
 
 // Job is the body of a submission.
 type Job struct {
 	Kind string `json:"kind"`
-	// DeadlineMS bounds the time to the whole answer; 0 means the kind's own.
+	// DeadlineMS bounds the time to the complete answer in milliseconds; 0 means the
+	// deadline of the kind.
 	DeadlineMS int    `json:"deadline_ms,omitempty"`
 	Tasks      []Task `json:"tasks"`
 }
 
-// IDsRequest asks for ids.
+// IDsRequest requests submission ids.
 type IDsRequest struct {
 	Count int `json:"count"`
 }
 
-// IDs answers IDsRequest.
+// IDs is the response to IDsRequest.
 type IDs struct {
 	IDs     []string `json:"ids"`
 	Version uint64   `json:"version"`
@@ -85,28 +88,29 @@
 	Target string          `json:"target,omitempty"`
 }
 
-// Answer is what callers get for a submission, or of its state.
+// Answer is the response to a submission or to a query of its state.
 type Answer struct {
 	ID      string       `json:"id"`
 	Outcome Outcome      `json:"outcome"`
 	Results []TaskResult `json:"results,omitempty"`
-	// Version is the configuration version that the submission was judged under.
+	// Version is the configuration version that was applied to the submission.
 	Version uint64 `json:"version"`
-	// NextID is a fresh id for the caller's next submission.
+	// NextID is an unused id for the caller's next submission.
 	NextID string `json:"next_id,omitempty"`
 }
 
-// Problem is a problem detail after RFC 9457 with what rackspur adds.
+// Problem is a problem detail (RFC 9457) with extension members of rackspur.
 type Problem struct {
 	Type     string `json:"type"`
 	Title    string `json:"title"`
 	Status   int    `json:"status"`
 	Detail   string `json:"detail,omitempty"`
 	Instance string `json:"instance,omitempty"`
-	// Outcome is empty where the request says nothing of a submission.
+	// Outcome is empty if the request was not about a submission.
 	Outcome Outcome `json:"outcome,omitempty"`
 	Reason  string  `json:"reason"`
-	// RetryAfterMS tells when to come back; Retry-After carries it in seconds.
+	// RetryAfterMS is the time in milliseconds after which to retry. The Retry-After
+	// header has it in seconds.
 	RetryAfterMS int          `json:"retry_after_ms,omitempty"`
 	Results      []TaskResult `json:"results,omitempty"`
 	Version      uint64       `json:"version,omitempty"`
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller is a client of the callers' interface. It resubmits under the
-// same id when an answer is lost, through the next entry box.
+// Package caller is a client of the callers' interface. If an answer is lost, it
+// resubmits under the same id to the next entry box.
 package caller
 
 import (
@@ -18,31 +18,31 @@
 )
 
 const (
-	// maxAnswer bounds what is read of an answer, in bytes.
+	// maxAnswer is the maximum size of an answer in bytes.
 	maxAnswer = 80 << 20
-	// resubmitPause is the time before a lost answer is asked for again.
-	resubmitPause = 50 * time.Millisecond
-	// idleConns is the number of idle connections kept to an entry box.
+	// retryDelay is the delay before a request is sent again.
+	retryDelay = 50 * time.Millisecond
+	// idleConns is the maximum number of idle connections to an entry box.
 	idleConns = 512
 )
 
 // Errors of this package.
 var (
-	// ErrLost says that no answer came; the outcome is unknown.
+	// ErrLost is returned if no valid answer arrived. The outcome is unknown.
 	ErrLost = eris.New("caller: answer lost")
-	// ErrJob says that the job can't be sent.
+	// ErrJob is returned for a job that can't be encoded.
 	ErrJob = eris.New("caller: bad job")
 )
 
-// Reply is an answer or a problem; the other is nil.
+// Reply is the reply to a request. Either Answer or Problem is set.
 type Reply struct {
 	Answer  *api.Answer
 	Problem *api.Problem
-	// Status is the HTTP status.
+	// Status is the HTTP status code.
 	Status int
 }
 
-// Outcome returns the outcome that the reply states, empty if it states none.
+// Outcome returns the outcome in the reply, or an empty one if there is none.
 func (r *Reply) Outcome() api.Outcome {
 	if r.Answer != nil {
 		return r.Answer.Outcome
@@ -50,7 +50,7 @@
 	return r.Problem.Outcome
 }
 
-// NextID returns the fresh id that the reply carries, if any.
+// NextID returns the unused id in the reply, or an empty string if there is none.
 func (r *Reply) NextID() string {
 	if r.Answer != nil {
 		return r.Answer.NextID
@@ -60,16 +60,16 @@
 
 // Client sends submissions to entry boxes.
 type Client struct {
-	entries []string
-	token   string
-	http    *http.Client
-	turn    atomic.Uint64
-	// Resubmits counts the submissions sent again.
+	entries    []string
+	token      string
+	http       *http.Client
+	entryIndex atomic.Uint64
+	// Resubmits counts the resubmissions.
 	Resubmits atomic.Int64
 }
 
-// New returns a client of the entry boxes at the base URLs. The token is
-// "member:secret".
+// New returns a client of the entry boxes at the given base URLs. The token has the
+// form "member:secret".
 func New(entries []string, token string) *Client {
 	t := http.DefaultTransport.(*http.Transport).Clone()
 	t.Proxy = nil
@@ -78,20 +78,21 @@
 	return &Client{entries: entries, token: token, http: &http.Client{Transport: otelhttp.NewTransport(t)}}
 }
 
-// IDs asks for fresh ids.
+// IDs requests n unused ids. It retries until ctx is done. If the request is refused,
+// it returns the reply instead.
 func (c *Client) IDs(ctx context.Context, n int) ([]string, *Reply, error) {
 	body, _ := json.Marshal(api.IDsRequest{Count: n})
 	for {
-		status, answer, err := c.call(ctx, c.entry(), http.MethodPost, api.PathIDs, body)
+		status, answer, err := c.call(ctx, c.currentEntry(), http.MethodPost, api.PathIDs, body)
 		if err != nil || status == http.StatusServiceUnavailable {
-			c.turn.Add(1)
+			c.entryIndex.Add(1)
 			if !pause(ctx) {
-				return nil, nil, eris.Wrap(ErrLost, "no ids")
+				return nil, nil, eris.Wrap(ErrLost, "no ids received in time")
 			}
 			continue
 		}
 		if status != http.StatusOK {
-			return nil, problemOf(status, answer), nil
+			return nil, parseProblem(status, answer), nil
 		}
 		var ids api.IDs
 		if err := json.Unmarshal(answer, &ids); err != nil {
@@ -101,7 +102,7 @@
 	}
 }
 
-// Submit sends a job under an id until the answer is final or ctx ends. It then
+// Submit submits a job under an id until the reply is final or ctx is done. It
 // returns the last reply, or ErrLost if there was none.
 func (c *Client) Submit(ctx context.Context, id string, job *api.Job) (*Reply, error) {
 	body, err := json.Marshal(job)
@@ -111,7 +112,7 @@
 	return c.SubmitRaw(ctx, id, body)
 }
 
-// SubmitRaw is Submit for a job in JSON.
+// SubmitRaw is like Submit for a job encoded as JSON.
 func (c *Client) SubmitRaw(ctx context.Context, id string, body []byte) (*Reply, error) {
 	var last *Reply
 	for first := true; ; first = false {
@@ -128,24 +129,24 @@
 		if err == nil {
 			last = r
 		}
-		c.turn.Add(1)
+		c.entryIndex.Add(1)
 		if !pause(ctx) {
 			if last == nil {
-				return nil, eris.Wrap(ErrLost, "no answer in time")
+				return nil, eris.Wrap(ErrLost, "no answer received in time")
 			}
 			return last, nil
 		}
 	}
 }
 
-// Once makes one call about a submission at the entry box whose turn it is.
+// Once sends a single request about a submission to the current entry box.
 func (c *Client) Once(ctx context.Context, method, id string, body []byte) (*Reply, error) {
-	status, answer, err := c.call(ctx, c.entry(), method, api.PathSubmissions+"/"+id, body)
+	status, answer, err := c.call(ctx, c.currentEntry(), method, api.PathSubmissions+"/"+id, body)
 	if err != nil {
 		return nil, eris.Wrap(ErrLost, err.Error())
 	}
 	if status >= http.StatusBadRequest {
-		return problemOf(status, answer), nil
+		return parseProblem(status, answer), nil
 	}
 	var a api.Answer
 	if err := json.Unmarshal(answer, &a); err != nil {
@@ -154,13 +155,13 @@
 	return &Reply{Answer: &a, Status: status}, nil
 }
 
-func (c *Client) entry() string {
-	return c.entries[c.turn.Load()%uint64(len(c.entries))]
+func (c *Client) currentEntry() string {
+	return c.entries[c.entryIndex.Load()%uint64(len(c.entries))]
 }
 
-// Next makes the next call go to the next entry box.
+// Next switches to the next entry box.
 func (c *Client) Next() {
-	c.turn.Add(1)
+	c.entryIndex.Add(1)
 }
 
 func (c *Client) call(ctx context.Context, entry, method, path string, body []byte) (int, []byte, error) {
@@ -179,7 +180,7 @@
 	return res.StatusCode, answer, err
 }
 
-func problemOf(status int, answer []byte) *Reply {
+func parseProblem(status int, answer []byte) *Reply {
 	p := &api.Problem{}
 	if err := json.Unmarshal(answer, p); err != nil {
 		p = &api.Problem{Status: status, Title: http.StatusText(status), Reason: "unreadable", Detail: string(answer)}
@@ -187,12 +188,12 @@
 	return &Reply{Problem: p, Status: status}
 }
 
-// pause waits before the next try. It reports false if ctx ends.
+// pause waits for retryDelay. It returns false if ctx is done first.
 func pause(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(resubmitPause):
+	case <-time.After(retryDelay):
 		return true
 	}
 }
--- a/id/id.go
+++ b/id/id.go
@@ -1,8 +1,8 @@
-// Package id makes and reads submission ids.
+// Package id creates and parses submission ids.
 //
-// An id names its home: the address and the incarnation of the one agent that
-// judges it. It also carries the number of the block it was minted from, a
-// random part, and a tag that ties it to a member. To callers it is opaque.
+// An id contains its home, the address and incarnation of the agent responsible for
+// it, the number of the block that it was created from, a nonce, and a tag that
+// authenticates it for a member. Callers treat ids as opaque.
 package id
 
 import (
@@ -16,11 +16,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// Sizes of the parts of an id, in bytes.
+// Sizes of the parts of an id and of its text form, in bytes.
 const (
-	// IncarnationSize is the size of an incarnation.
 	IncarnationSize = 8
-	// KeySize is the size of the key of a block.
+	// KeySize is the size of secrets and block keys.
 	KeySize    = 16
 	randomSize = 9
 	tagSize    = 8
@@ -28,23 +27,24 @@
 	maxText    = 128
 )
 
-// format is the first byte of every id.
+// format is the version of the encoding and the first byte of every id.
 const format = 1
 
-// ErrMalformed says that a text is no id.
+// ErrMalformed is returned for a text that is not an id.
 var ErrMalformed = eris.New("id: malformed")
 
-// Incarnation is the random number that an agent draws at its start.
+// Incarnation is a random number that identifies one run of an agent.
 type Incarnation [IncarnationSize]byte
 
-// NewIncarnation draws an incarnation.
+// NewIncarnation returns a random incarnation.
 func NewIncarnation() Incarnation {
 	var n Incarnation
-	mustRead(n[:])
+	fillRandom(n[:])
 	return n
 }
 
-// IncarnationOf returns the incarnation held in b, or false if b has not its size.
+// IncarnationOf returns the incarnation in b. It returns false if b has the wrong
+// size.
 func IncarnationOf(b []byte) (Incarnation, bool) {
 	if len(b) != IncarnationSize {
 		return Incarnation{}, false
@@ -52,18 +52,18 @@
 	return Incarnation(b), true
 }
 
-// String returns the incarnation in a form fit for logs.
+// String returns the incarnation in base64.
 func (n Incarnation) String() string {
 	return base64.RawURLEncoding.EncodeToString(n[:])
 }
 
-// Secret is the key of one home, from which the keys of its blocks derive.
+// Secret is the key of a home, from which the keys of its blocks are derived.
 type Secret [KeySize]byte
 
-// NewSecret draws a secret.
+// NewSecret returns a random secret.
 func NewSecret() Secret {
 	var s Secret
-	mustRead(s[:])
+	fillRandom(s[:])
 	return s
 }
 
@@ -79,34 +79,35 @@
 // Nonce is the random part of an id, unique within its block.
 type Nonce [randomSize]byte
 
-// NewNonce draws a nonce.
+// NewNonce returns a random nonce.
 func NewNonce() Nonce {
 	var n Nonce
-	mustRead(n[:])
+	fillRandom(n[:])
 	return n
 }
 
 // ID is a parsed submission id.
 type ID struct {
-	// Home is the address of the agent that judges the id.
+	// Home is the address of the agent responsible for the id.
 	Home netip.AddrPort
 	// Incarnation is the incarnation of that agent.
 	Incarnation Incarnation
-	// Block is the number of the block the id was minted from.
+	// Block is the number of the block that the id was created from.
 	Block uint32
-	// Nonce tells the ids of a block apart.
+	// Nonce distinguishes the ids of a block.
 	Nonce Nonce
 	tag   [tagSize]byte
 }
 
-// Mint returns a new id for a member from a block of a home.
+// Mint returns a new id for a member from a block with the given key.
 func Mint(home netip.AddrPort, n Incarnation, block uint32, key []byte, member string) ID {
 	v := ID{Home: home, Incarnation: n, Block: block, Nonce: NewNonce()}
 	v.tag = v.sign(key, member)
 	return v
 }
 
-// Belongs reports whether the id was minted for the member with the home's secret.
+// Belongs reports whether the id was created for the member by the home with the
+// secret.
 func (v ID) Belongs(s Secret, member string) bool {
 	key := s.BlockKey(v.Block)
 	want := v.sign(key[:], member)
@@ -120,7 +121,7 @@
 	return [tagSize]byte(mac.Sum(nil)[:tagSize])
 }
 
-// Key returns the part of the id that names it within its home.
+// Key returns the part of the id that is unique within its home.
 func (v ID) Key() string {
 	b := binary.BigEndian.AppendUint32(nil, v.Block)
 	return string(append(b, v.Nonce[:]...))
@@ -139,7 +140,7 @@
 	return base64.RawURLEncoding.EncodeToString(b)
 }
 
-// Parse reads the text form of an id. It returns ErrMalformed for anything else.
+// Parse parses the text form of an id. It returns ErrMalformed for any other text.
 func Parse(text string) (ID, error) {
 	if len(text) > maxText {
 		return ID{}, ErrMalformed
@@ -170,8 +171,8 @@
 	return v, nil
 }
 
-// mustRead fills b with random bytes; the standard library ends the process
-// if the system can't give any.
-func mustRead(b []byte) {
+// fillRandom fills b with random bytes. rand.Read crashes the program on failure and
+// never returns an error.
+func fillRandom(b []byte) {
 	_, _ = rand.Read(b)
 }
--- a/id/id_test.go
+++ b/id/id_test.go
@@ -19,7 +19,7 @@
 		t.Fatalf("%v, %v", got, err)
 	}
 	if !got.Belongs(s, "ghanta") || got.Belongs(s, "acquirer") || got.Belongs(NewSecret(), "ghanta") {
-		t.Error("the tag does not tell members apart")
+		t.Error("the tag does not authenticate the member and the secret")
 	}
 }
 
@@ -37,7 +37,7 @@
 			return
 		}
 		if v.String() != text {
-			t.Errorf("%q reads as %q", text, v)
+			t.Errorf("%q is parsed as %q", text, v)
 		}
 	})
 }
--- a/route/route.go
+++ b/route/route.go
@@ -1,5 +1,5 @@
-// Package route holds the configuration in force: which queue a request goes
-// to, and the limits on requests. Versions only rise.
+// Package route holds the current configuration: the routes from requests to queues
+// and the limits on requests. A version is only ever replaced by a newer one.
 package route
 
 import (
@@ -10,14 +10,15 @@
 	"rackspur/job"
 )
 
-// Route leads requests to a queue.
+// Route assigns requests with a host and a path prefix to a queue.
 type Route struct {
 	Host   string
 	Prefix string
 	Queue  job.Queue
 }
 
-// Limits bound requests.
+// Limits holds the limits on requests. A zero value means that the limit is not
+// configured.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -25,10 +26,10 @@
 	IdleTimeout   time.Duration
 }
 
-// Service is a pool of executors.
+// Service is a pool of targets.
 type Service struct {
 	Name string
-	// Guards says that its executors reject what does not fit.
+	// Guards is true if the targets reject tasks that exceed their capacity.
 	Guards bool
 }
 
@@ -40,8 +41,8 @@
 	Limits   Limits
 }
 
-// Find returns the route with the host and the longest prefix of the path, and
-// the rest of the path.
+// Find returns the route that matches the host and the longest prefix of the path,
+// and the rest of the path.
 func (t *Table) Find(host, path string) (r *Route, rest string, ok bool) {
 	for i := range t.Routes {
 		c := &t.Routes[i]
@@ -55,18 +56,17 @@
 	return r, path[len(r.Prefix):], true
 }
 
-// Holder keeps the newest table and knows how old that knowledge is.
+// Holder holds the newest known table and the time when it was confirmed as such.
 type Holder struct {
 	current atomic.Pointer[Table]
-	// confirmed is when the table was known to be the newest one.
+	// confirmed is the last time when current was known to be the newest table.
 	confirmed atomic.Pointer[time.Time]
 }
 
-// Current returns the newest table, or nil before the first.
+// Current returns the current table, or nil if there is none yet.
 func (h *Holder) Current() *Table { return h.current.Load() }
 
-// Take takes a table in if it is newer than the one in force; it reports whether
-// it was.
+// Take replaces the current table if t is newer. It reports whether it did.
 func (h *Holder) Take(t *Table) bool {
 	for {
 		old := h.current.Load()
@@ -79,12 +79,12 @@
 	}
 }
 
-// Confirm notes that all tables that stood in the store at a time have been taken
-// in.
+// Confirm records that all tables in the store at the given time have been passed to
+// Take.
 func (h *Holder) Confirm(at time.Time) { h.confirmed.Store(&at) }
 
-// Age returns how long ago the table in force was known to be the newest one; ok
-// is false before that was known for the first time.
+// Age returns how long ago the current table was last known to be the newest one. ok
+// is false if it never was.
 func (h *Holder) Age() (age time.Duration, ok bool) {
 	at := h.confirmed.Load()
 	if at == nil {
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -1,5 +1,5 @@
-// Package rpc sets up the gRPC connections between our own processes: bounds,
-// keepalive, counters and trace spans are the same everywhere.
+// Package rpc creates gRPC clients and servers for the connections between rackspur
+// processes, with common limits, keepalive, metrics and tracing.
 package rpc
 
 import (
@@ -15,20 +15,21 @@
 )
 
 const (
-	// MaxMessage bounds a message in bytes: the largest body of a request and
-	// what travels with it.
+	// MaxMessage is the maximum size of a message in bytes. It exceeds the largest
+	// request body, to leave space for the other fields.
 	MaxMessage = 80 << 20
 
 	keepaliveTime    = 10 * time.Second
 	keepaliveTimeout = 3 * time.Second
-	// keepaliveFloor is the shortest keepalive that a server puts up with.
-	keepaliveFloor = 5 * time.Second
-	connectTimeout = time.Second
-	// windowBytes is the flow control window of a stream and of a connection.
+	// minKeepaliveTime is the shortest interval of keepalive pings that a server
+	// accepts.
+	minKeepaliveTime = 5 * time.Second
+	connectTimeout   = time.Second
+	// windowBytes is the initial flow control window of streams and connections.
 	windowBytes = 1 << 20
 )
 
-// Dial returns a connection to another process. It connects at first use.
+// Dial returns a client connection to another process. It connects on first use.
 func Dial(address string, m *observe.Metrics) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -48,7 +49,7 @@
 	)
 }
 
-// NewServer returns a server for our own processes.
+// NewServer returns a server for requests of other processes.
 func NewServer(m *observe.Metrics) *grpc.Server {
 	return grpc.NewServer(
 		grpc.StatsHandler(m.Messages()),
@@ -58,6 +59,6 @@
 		grpc.InitialWindowSize(windowBytes),
 		grpc.InitialConnWindowSize(windowBytes),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveFloor, PermitWithoutStream: true}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minKeepaliveTime, PermitWithoutStream: true}),
 	)
 }
--- a/target/target.go
+++ b/target/target.go
@@ -1,7 +1,7 @@
-// Package target sends tasks to the one target of an agent's box.
+// Package target sends tasks to the target on an agent's box.
 //
-// The interface is a plain HTTP POST for each task, sent exactly once: nothing
-// is sent again after its first byte may have left.
+// Each task is an HTTP POST request. A request is never sent again once any of it
+// may have been sent.
 package target
 
 import (
@@ -26,45 +26,46 @@
 	HeaderTask   = "Rackspur-Task"
 	HeaderMember = "Rackspur-Member"
 	HeaderKind   = "Rackspur-Kind"
-	// HeaderLease is the longest run time of the task in milliseconds.
+	// HeaderLease is the maximum run time of the task in milliseconds.
 	HeaderLease = "Rackspur-Lease-Ms"
 )
 
 const (
-	// maxResult bounds a task's result in bytes.
+	// maxResult is the maximum size of a task's result in bytes.
 	maxResult = 1 << 20
-	// dialTimeout bounds the time to connect to a target on the own box.
+	// dialTimeout bounds the time to connect to the target on the same box, and the
+	// time of a usage request.
 	dialTimeout = time.Second
-	// Connections is the number of connections a target takes.
+	// Connections is the maximum number of connections to a target.
 	Connections = 64
 )
 
-// Errors of this package. Each says that the task may have started.
+// Errors of this package. All but ErrUsage mean that the task may have started.
 var (
-	// ErrBroken says that no whole answer came.
+	// ErrBroken is returned if no complete, valid answer arrived.
 	ErrBroken = eris.New("target: broken answer")
-	// ErrTask says that the target answered with an error.
+	// ErrTask is returned if the target answered with an error.
 	ErrTask = eris.New("target: task failed")
-	// ErrWrongTask says that the target answered for another task.
-	ErrWrongTask = eris.New("target: answer of another task")
-	// ErrUsage says that the target gave no usage report.
+	// ErrWrongTask is returned if the answer is for a different task.
+	ErrWrongTask = eris.New("target: answer for a different task")
+	// ErrUsage is returned if there was no valid usage report.
 	ErrUsage = eris.New("target: no usage report")
 )
 
-// Task is one task for a target.
+// Task is a task to be run by a target.
 type Task struct {
-	// ID names the task; the target repeats it in its answer.
+	// ID identifies the task. The target repeats it in its answer.
 	ID           string
 	Member, Kind string
 	Payload      []byte
 	Lease        time.Duration
 }
 
-// Usage is a target's report, which lags.
+// Usage is a target's usage report. It may be out of date.
 type Usage struct {
 	Slots   int `json:"slots"`
 	Running int `json:"running"`
-	// AgeMS is how old the report is.
+	// AgeMS is the age of the report in milliseconds.
 	AgeMS int64 `json:"age_ms"`
 }
 
@@ -76,13 +77,13 @@
 	Usage(ctx context.Context) (Usage, error)
 }
 
-// client is a target over HTTP.
+// client implements Target over HTTP.
 type client struct {
 	base string
 	http *http.Client
 }
 
-// NewClient returns the target at a base URL.
+// NewClient returns a client of the target at a base URL.
 func NewClient(base string) Target {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -95,8 +96,8 @@
 	}}
 }
 
-// onceReader is a body that can't be read again, so that the HTTP transport
-// has nothing to repeat a request with.
+// onceReader hides the type of a request body, so that http.NewRequest sets no
+// GetBody and the transport can't send the request again.
 type onceReader struct {
 	io.Reader
 }
@@ -118,7 +119,7 @@
 	if err != nil {
 		return nil, eris.Wrap(ErrBroken, err.Error())
 	}
-	return check(t, res, body)
+	return checkResponse(t, res, body)
 }
 
 func (c *client) request(ctx context.Context, t Task) (*http.Request, error) {
@@ -136,8 +137,8 @@
 	return req, nil
 }
 
-// check takes only the whole answer of the task that was sent.
-func check(t Task, res *http.Response, body []byte) ([]byte, error) {
+// checkResponse returns the body of a response if it is the valid answer for the task.
+func checkResponse(t Task, res *http.Response, body []byte) ([]byte, error) {
 	if res.StatusCode != http.StatusOK {
 		return nil, eris.Wrapf(ErrTask, "status %d: %.200s", res.StatusCode, body)
 	}
--- a/target/target_test.go
+++ b/target/target_test.go
@@ -12,18 +12,19 @@
 	"time"
 )
 
-// breaker is a server that counts the requests it has read and then misbehaves.
-type breaker struct {
+// failingHandler answers a number of requests and closes the connections of all
+// further ones without an answer.
+type failingHandler struct {
 	requests atomic.Int64
-	// good is the number of requests that are answered before that.
-	good int64
-	// cut resets the connection, else it is closed without an answer.
-	cut bool
+	// answered is the number of requests that are answered.
+	answered int64
+	// reset makes the connection be reset instead of closed.
+	reset bool
 }
 
-func (s *breaker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *failingHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
-	if s.requests.Add(1) <= s.good {
+	if s.requests.Add(1) <= s.answered {
 		w.Header().Set(HeaderTask, r.Header.Get(HeaderTask))
 		_, _ = w.Write([]byte("{}"))
 		return
@@ -32,19 +33,19 @@
 	if err != nil {
 		return
 	}
-	if tc, ok := conn.(*net.TCPConn); ok && s.cut {
+	if tc, ok := conn.(*net.TCPConn); ok && s.reset {
 		_ = tc.SetLinger(0)
 	}
 	conn.Close()
 }
 
-// TestRunSendsOnce resets connections after the request was written, new ones
-// and such as were used before. No request may be sent a second time.
+// A request must not be sent again if its connection, new or reused, fails after the
+// request was written.
 func TestRunSendsOnce(t *testing.T) {
 	cases := []struct {
-		name string
-		good int64
-		cut  bool
+		name     string
+		answered int64
+		reset    bool
 	}{
 		{"1 new connection reset", 0, true},
 		{"2 new connection closed", 0, false},
@@ -53,12 +54,12 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			b := &breaker{good: tc.good, cut: tc.cut}
+			b := &failingHandler{answered: tc.answered, reset: tc.reset}
 			srv := httptest.NewServer(b)
 			defer srv.Close()
 			c := NewClient(srv.URL)
 			task := Task{ID: "t", Payload: []byte(`{"ms":1}`), Lease: 5 * time.Second}
-			for range tc.good {
+			for range tc.answered {
 				if _, err := c.Run(context.Background(), task); err != nil {
 					t.Fatal(err)
 				}
@@ -66,8 +67,8 @@
 			if _, err := c.Run(context.Background(), task); !errors.Is(err, ErrBroken) {
 				t.Errorf("got %v, want ErrBroken", err)
 			}
-			if n := b.requests.Load(); n != tc.good+1 {
-				t.Errorf("%d requests sent, want %d", n, tc.good+1)
+			if n := b.requests.Load(); n != tc.answered+1 {
+				t.Errorf("%d requests received, want %d", n, tc.answered+1)
 			}
 		})
 	}
