--- a/cli/dev.go
+++ b/cli/dev.go
@@ -86,8 +86,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	sup := suture.New("dev", suture.Spec{EventHook: func(e suture.Event) { log.Info("Supervisor event.", "event", e.String()) }})
-	memory := standin.NewStore()
-	if err := devConfigure(ctx, memory); err != nil {
+	platformStore := standin.NewStore()
+	if err := devConfigure(ctx, platformStore); err != nil {
 		return err
 	}
 	addresses, err := freeAddresses(addressesPerAgent * s.targets)
@@ -95,11 +95,11 @@
 		return err
 	}
 	for i := range s.targets {
-		if err := devAgent(sup, memory, s, i, addresses[addressesPerAgent*i:], log); err != nil {
+		if err := devAgent(sup, platformStore, s, i, addresses[addressesPerAgent*i:], log); err != nil {
 			return err
 		}
 	}
-	if err := devEntry(sup, memory, s, log); err != nil {
+	if err := devEntry(sup, platformStore, s, log); err != nil {
 		return err
 	}
 	done := sup.ServeBackground(ctx)
@@ -115,12 +115,12 @@
 	return nil
 }
 
-func devConfigure(ctx context.Context, memory *standin.Store) error {
+func devConfigure(ctx context.Context, platformStore *standin.Store) error {
 	d, err := config.Parse(devDeclaration)
 	if err != nil {
 		return err
 	}
-	_, err = config.NewStore(memory).Apply(ctx, config.Change{ID: uuid.NewString(), Author: "dev", Document: d})
+	_, err = config.NewStore(platformStore).Apply(ctx, config.Change{ID: uuid.NewString(), Author: "dev", Document: d})
 	return err
 }
 
@@ -145,7 +145,7 @@
 // operators' port.
 const addressesPerAgent = 3
 
-func devAgent(sup *suture.Supervisor, memory *standin.Store, s *devSettings, i int, addresses []string, log logr.Logger) error {
+func devAgent(sup *suture.Supervisor, platformStore *standin.Store, s *devSettings, i int, addresses []string, log logr.Logger) error {
 	name := fmt.Sprintf("engine-%d", i+1)
 	domain := devDomains[i%len(devDomains)]
 	t := standin.NewTarget(name, s.slots)
@@ -160,7 +160,7 @@
 		},
 		Config:   holder,
 		Policy:   policy.NewEngine(holder, m, log),
-		Platform: memory,
+		Platform: platformStore,
 		Metrics:  m,
 		Log:      log,
 	})
@@ -168,12 +168,12 @@
 		return err
 	}
 	sup.Add(serviceFunc(a.Run))
-	memory.SetBox(store.Box{Name: name, Role: store.RoleAgent, Address: addresses[1], Domain: domain, State: store.BoxLive})
+	platformStore.SetBox(store.Box{Name: name, Role: store.RoleAgent, Address: addresses[1], Domain: domain, State: store.BoxLive})
 	return nil
 }
 
-func devEntry(sup *suture.Supervisor, memory *standin.Store, s *devSettings, log logr.Logger) error {
-	memory.SetBox(store.Box{Name: "entry-1", Role: store.RoleEntry, Address: s.listen, Domain: devDomains[0], State: store.BoxLive})
+func devEntry(sup *suture.Supervisor, platformStore *standin.Store, s *devSettings, log logr.Logger) error {
+	platformStore.SetBox(store.Box{Name: "entry-1", Role: store.RoleEntry, Address: s.listen, Domain: devDomains[0], State: store.BoxLive})
 	e, err := entry.New(entry.Parts{
 		Settings: entry.Settings{
 			Name: "entry-1", Listen: s.listen, Ops: s.ops, Domain: devDomains[0], Links: 64, Candidates: 32,
@@ -181,7 +181,7 @@
 			HeaderTimeout: 5 * time.Second, BodyTimeout: 30 * time.Second,
 		},
 		Config:   config.NewHolder(),
-		Platform: memory,
+		Platform: platformStore,
 		Metrics:  observe.NewMetrics(),
 		Log:      log,
 	})
--- a/cli/limits_test.go
+++ b/cli/limits_test.go
@@ -122,17 +122,17 @@
 
 // Deadlines set by http.Server must be replaced by the configured ones.
 func TestReadDeadlines(t *testing.T) {
-	const own = 5 * time.Second
+	const serverTimeout = 5 * time.Second
 	cases := []struct {
 		name   string
 		limits route.Limits
 		idle   bool
 		want   time.Duration
 	}{
-		{"nothing configured", route.Limits{}, false, own},
+		{"nothing configured", route.Limits{}, false, serverTimeout},
 		{"header", route.Limits{HeaderTimeout: time.Hour, IdleTimeout: time.Minute}, false, time.Hour},
 		{"idle", route.Limits{HeaderTimeout: time.Hour, IdleTimeout: time.Minute}, true, time.Minute},
-		{"only the other is configured", route.Limits{HeaderTimeout: time.Hour}, true, own},
+		{"only the other is configured", route.Limits{HeaderTimeout: time.Hour}, true, serverTimeout},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -144,8 +144,8 @@
 			}
 			trackIdle(c, state)
 			now := time.Now()
-			_ = c.SetReadDeadline(now.Add(own))
-			if got := inner.deadline.Sub(now); got < tc.want || got > tc.want+own/2 {
+			_ = c.SetReadDeadline(now.Add(serverTimeout))
+			if got := inner.deadline.Sub(now); got < tc.want || got > tc.want+serverTimeout/2 {
 				t.Errorf("deadline after %v, want %v", got, tc.want)
 			}
 			_ = c.SetReadDeadline(time.Time{})
--- a/cli/standin.go
+++ b/cli/standin.go
@@ -39,18 +39,18 @@
 	set.Address(&listen, "listen", "127.0.0.1:7100", "address to serve")
 	set.String(&boxes, "boxes", "", "JSON file with the list of boxes")
 	cmd.RunE = checked(set, func(cmd *cobra.Command, _ []string) error {
-		memory := standin.NewStore()
+		platformStore := standin.NewStore()
 		if boxes != "" {
-			if err := readBoxes(memory, boxes); err != nil {
+			if err := readBoxes(platformStore, boxes); err != nil {
 				return err
 			}
 		}
-		return serveHTTP(cmd.Context(), listen, platformConnections, standin.PlatformHandler(memory))
+		return serveHTTP(cmd.Context(), listen, platformConnections, standin.PlatformHandler(platformStore))
 	})
 	return cmd
 }
 
-func readBoxes(memory *standin.Store, file string) error {
+func readBoxes(platformStore *standin.Store, file string) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return exitWith(ExitUsage, "boxes: %v", err)
@@ -60,7 +60,7 @@
 		return exitWith(ExitUsage, "boxes: %s: %v", file, err)
 	}
 	for _, b := range list {
-		memory.SetBox(b)
+		platformStore.SetBox(b)
 	}
 	return nil
 }
--- a/id/id.go
+++ b/id/id.go
@@ -18,6 +18,7 @@
 
 // Sizes of the parts of an id and of its text form, in bytes.
 const (
+	// IncarnationSize is the size of an Incarnation.
 	IncarnationSize = 8
 	// KeySize is the size of secrets and block keys.
 	KeySize    = 16
--- a/load/bound/simulation.go
+++ b/load/bound/simulation.go
@@ -39,18 +39,18 @@
 // outcome of each kind by name. Each task occupies its target for deadTime
 // after its run.
 func (s *Scenario) Play(factor float64, seed uint64, order Order, deadTime time.Duration) map[string]Outcome {
-	p := &simulation{order: order, deadTime: float64(deadTime.Microseconds()) / 1000}
+	sim := &simulation{order: order, deadTime: float64(deadTime.Microseconds()) / 1000}
 	for _, t := range s.Targets {
 		for range t.Count {
-			p.targets = append(p.targets, &target{Targets: t, free: t.CPU})
+			sim.targets = append(sim.targets, &target{Targets: t, free: t.CPU})
 		}
 	}
 	jobs := s.arrivals(factor, seed)
 	for _, j := range jobs {
-		heap.Push(&p.events, event{at: j.arrived, job: j})
+		heap.Push(&sim.events, event{at: j.arrived, job: j})
 	}
-	for len(p.events) > 0 {
-		p.handle(heap.Pop(&p.events).(event))
+	for len(sim.events) > 0 {
+		sim.handle(heap.Pop(&sim.events).(event))
 	}
 	outcomes := map[string]Outcome{}
 	for _, j := range jobs {
@@ -98,9 +98,9 @@
 	waiting  []*job
 }
 
-func (p *simulation) handle(e event) {
+func (s *simulation) handle(e event) {
 	if e.target == nil {
-		p.waiting = append(p.waiting, e.job)
+		s.waiting = append(s.waiting, e.job)
 	} else {
 		e.target.free += e.job.cpu
 		e.job.unfinished--
@@ -108,38 +108,38 @@
 			e.job.ended = e.at
 		}
 	}
-	p.dispatch(e.at)
+	s.dispatch(e.at)
 }
 
 // dispatch starts as many tasks as fit. A job is dropped once it earns nothing or,
 // if none of its tasks has started, once it can't be in time.
-func (p *simulation) dispatch(now float64) {
-	p.waiting = slices.DeleteFunc(p.waiting, func(j *job) bool {
+func (s *simulation) dispatch(now float64) {
+	s.waiting = slices.DeleteFunc(s.waiting, func(j *job) bool {
 		started := j.unstarted < len(j.tasks)
 		return j.unstarted == 0 || now > j.worthlessAt || (!started && now > j.startBy)
 	})
-	slices.SortStableFunc(p.waiting, func(a, b *job) int {
-		if p.before(now, a, b) {
+	slices.SortStableFunc(s.waiting, func(a, b *job) int {
+		if s.before(now, a, b) {
 			return -1
 		}
-		if p.before(now, b, a) {
+		if s.before(now, b, a) {
 			return 1
 		}
 		return 0
 	})
-	for _, j := range p.waiting {
-		for j.unstarted > 0 && p.start(now, j) {
+	for _, j := range s.waiting {
+		for j.unstarted > 0 && s.start(now, j) {
 			j.unstarted--
 		}
 	}
 }
 
-func (p *simulation) before(now float64, a, b *job) bool {
+func (s *simulation) before(now float64, a, b *job) bool {
 	aLate, bLate := now > a.startBy, now > b.startBy
 	if aLate != bLate {
 		return !aLate
 	}
-	if p.order == OrderWorth {
+	if s.order == OrderWorth {
 		return a.density() > b.density()
 	}
 	aStarted, bStarted := a.unstarted < len(a.tasks), b.unstarted < len(b.tasks)
@@ -156,9 +156,9 @@
 
 // start starts the job's next task on the target with the largest share of free
 // capacity. It returns false if none has enough.
-func (p *simulation) start(now float64, j *job) bool {
+func (s *simulation) start(now float64, j *job) bool {
 	var best *target
-	for _, t := range p.targets {
+	for _, t := range s.targets {
 		if t.free >= j.cpu && (best == nil || t.free*best.CPU > best.free*t.CPU) {
 			best = t
 		}
@@ -168,7 +168,7 @@
 	}
 	best.free -= j.cpu
 	run := j.tasks[len(j.tasks)-j.unstarted] / best.Speed
-	heap.Push(&p.events, event{at: now + run + p.deadTime, job: j, target: best})
+	heap.Push(&s.events, event{at: now + run + s.deadTime, job: j, target: best})
 	return true
 }
 
