--- a/test/bounds_test.go
+++ b/test/bounds_test.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// platformBounds are the bounds that the settings of a deployment tell: what the platform
-// allows at most, and what callers and operators may rely on.
+// platformBounds are the bounds in the settings of a deployment: the platform's limits
+// and what callers and operators may rely on.
 type platformBounds struct {
 	// maxHold is the longest lease that a target grants.
 	maxHold time.Duration
-	// retransmit is how long after a lost answer callers hand a job in again, evacuate the
-	// time in which nothing more may start in an evacuated domain; 0 is not told.
+	// retransmit is how long after a lost answer callers submit a job again. evacuate is
+	// the time after which nothing may start in an evacuated domain. 0 omits the setting.
 	retransmit, evacuate time.Duration
-	// keepFinished is how long the state of an ended job is told.
+	// keepFinished is how long the state of an ended job can be queried.
 	keepFinished time.Duration
-	// grace is the time between the word to stop and the end by force.
+	// grace is the time between SIGTERM and SIGKILL.
 	grace time.Duration
 }
 
-// usualBounds are those of most deployments.
+// usualBounds are the bounds of most deployments.
 var usualBounds = platformBounds{maxHold: time.Second, keepFinished: 2 * time.Minute, grace: 4 * time.Second}
 
-// settings returns the bounds as the settings file has them.
+// settings returns the bounds as they stand in the settings file.
 func (b platformBounds) settings() map[string]any {
 	s := map[string]any{"maxHoldMs": b.maxHold.Milliseconds(), "status_s": b.keepFinished.Seconds(), "graceS": b.grace.Seconds()}
 	if b.retransmit > 0 {
@@ -34,12 +34,12 @@
 	return s
 }
 
-// drawnBoundsFrom is the first seed of a soak that draws bounds, too; those below it have
-// the usual ones.
+// drawnBoundsFrom is the first seed whose soak draws random bounds; lower seeds use
+// usualBounds.
 const drawnBoundsFrom = 1 << 40
 
-// soakBounds returns the bounds of a soak. What its callers and checks rely on, when jobs
-// come again, are told and are stopped, they get at least.
+// soakBounds returns the bounds of a soak. No random bound is tighter than what the
+// soak's callers and checks rely on.
 func soakBounds(seed uint64) platformBounds {
 	if seed < drawnBoundsFrom {
 		return usualBounds
--- a/test/capacity_test.go
+++ b/test/capacity_test.go
@@ -13,7 +13,7 @@
 	"rackspur/load"
 )
 
-// BenchmarkCapacity measures the slopes that docs/CAPACITY.md is worked out from:
+// BenchmarkCapacity measures the costs that docs/CAPACITY.md is calculated from:
 //
 //	go test ./test -run xxx -bench Capacity -benchtime 1x -timeout 30m
 func BenchmarkCapacity(b *testing.B) {
@@ -26,14 +26,14 @@
 const (
 	// ticksPerSecond is the unit of the processor times in /proc.
 	ticksPerSecond = 100
-	// statUser and statSystem are the places of the processor times in
-	// /proc/PID/stat, counted after the command's name.
+	// statUser and statSystem are the indices of the processor times in /proc/PID/stat
+	// after the command's name.
 	statUser, statSystem = 11, 12
 	idleSpan             = 10 * time.Second
 	bytesPerKB           = 1024
 )
 
-// usage is what a process has used so far.
+// usage is the resources that a process has used so far.
 type usage struct {
 	cpu  time.Duration
 	rss  int
@@ -79,7 +79,7 @@
 	return u
 }
 
-// idle watches nodes for a while and prints what each uses by the second.
+// idle prints the average usage per second of nodes over idleSpan.
 func idle(b *testing.B, label string, nodes ...*node) {
 	b.Helper()
 	before := make([]usage, len(nodes))
@@ -103,7 +103,7 @@
 			c := newCluster(b, shape{entries: 2, agents: agents, slots: 8, entryArgs: []string{"--poll", "1s"}})
 			idle(b, fmt.Sprintf("idle, %d agents, 2 entry boxes", agents), c.entries[0], c.agents[0])
 			begun := time.Now()
-			c.apply(declare("limits: {max_tasks: 100}"))
+			c.apply(declaration("limits: {max_tasks: 100}"))
 			accepted := time.Now()
 			c.awaitVersion(2)
 			fmt.Printf("| configuration in force at %d agents | | | | %s to accept | %s to be in force everywhere |\n", agents,
@@ -122,7 +122,7 @@
 func benchMembers(b *testing.B) {
 	for b.Loop() {
 		for _, members := range []int{50, 550} {
-			d := declare("")
+			d := declaration("")
 			var extra strings.Builder
 			for i := range members {
 				fmt.Fprintf(&extra, "  - {name: team-%d, secrets: ['%s'], rate: 100, concurrency: 50}\n", i, hashA)
@@ -135,7 +135,7 @@
 	}
 }
 
-// scenarioFile writes a scenario of short tasks that offers a rate.
+// scenarioFile writes a load scenario of jobs of short tasks at a rate, in jobs per second.
 func scenarioFile(b *testing.B, tasks int, rate float64) string {
 	b.Helper()
 	const slots, ms = 64, 2
@@ -155,11 +155,11 @@
 	return file
 }
 
-// benchLoad drives a cluster whose processes have one processor each and prints
-// what a submission and a start cost.
+// benchLoad puts load on a cluster whose processes have one processor each and prints
+// the costs of a submission and of a start.
 func benchLoad(b *testing.B, label string, agents, tasks int, rate float64) {
 	b.Setenv("GOMAXPROCS", "1")
-	c := newCluster(b, shape{entries: 1, agents: agents, slots: 64, declaration: declare("limits: {max_wait_ms: 600000}"), entryArgs: []string{"--poll", "1s"}})
+	c := newCluster(b, shape{entries: 1, agents: agents, slots: 64, declaration: declaration("limits: {max_wait_ms: 600000}"), entryArgs: []string{"--poll", "1s"}})
 	defer c.end()
 	e, a := usageOf(b, c.entries[0]), usageOf(b, c.agents[0])
 	before := c.messages()
--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -22,7 +22,7 @@
 	"rackspur/store"
 )
 
-// shape says how large a cluster is and where proxies stand.
+// shape is the size and configuration of a cluster.
 type shape struct {
 	entries, agents, slots int
 	// proxies puts a proxy before every entry box, agent and target.
@@ -33,7 +33,7 @@
 	agentArgs, entryArgs []string
 }
 
-// cluster is a whole system in separate processes.
+// cluster is a platform stand-in, entry boxes, agents and targets in separate processes.
 type cluster struct {
 	t        testing.TB
 	platform *node
@@ -42,10 +42,10 @@
 	targets  []*node
 }
 
-// node is a process and where to reach it.
+// node is a process of a cluster and its addresses.
 type node struct {
 	*process
-	// name is the name of the box, url what others use, direct the process itself.
+	// url is the address that others use, possibly a proxy's; direct is the process's own.
 	name, url, direct, ops string
 	address                string
 	proxy                  *proxy
@@ -57,8 +57,8 @@
 	tokenB = "acquirer:secret-b"
 )
 
-// declare returns the test declaration with some lines added.
-func declare(extra string) string {
+// declaration returns the test declaration with some lines added.
+func declaration(extra string) string {
 	return fmt.Sprintf(`members:
   - {name: ghanta, secrets: ['%s']}
   - {name: acquirer, secrets: ['%s']}
@@ -80,7 +80,7 @@
 func newCluster(t testing.TB, s shape) *cluster {
 	t.Helper()
 	if s.declaration == "" {
-		s.declaration = declare("")
+		s.declaration = declaration("")
 	}
 	c := &cluster{t: t}
 	c.startPlatform()
@@ -94,7 +94,7 @@
 	for _, e := range c.entries {
 		c.awaitLinks(e, s.agents)
 	}
-	c.settled()
+	c.awaitIdle()
 	return c
 }
 
@@ -108,7 +108,8 @@
 // domains are the failure domains of the test cluster.
 var domains = []string{"lahore-a", "lahore-b", "lahore-c"}
 
-// listen returns the address to listen on and the one that others use.
+// listen returns the address to listen on and the one that others use, which is that of
+// a proxy if proxied is set.
 func (c *cluster) listen(proxied bool) (own, public string, p *proxy) {
 	own = freeAddresses(c.t, 1)[0]
 	if !proxied {
@@ -147,7 +148,7 @@
 	c.setBox(store.Box{Name: name, Role: store.RoleEntry, Address: public, State: store.BoxLive})
 }
 
-// awaitLinks waits until an entry box is ready with n agents that can be homes.
+// awaitLinks waits until an entry box is ready and linked to n agents that can be homes.
 func (c *cluster) awaitLinks(e *node, n int) {
 	c.t.Helper()
 	waitFor(c.t, fmt.Sprintf("%s is linked to %d agents", e.name, n), func() bool {
@@ -176,7 +177,7 @@
 }
 
 func getJSON(url string, into any) bool {
-	res, err := quick.Get(url)
+	res, err := quickClient.Get(url)
 	if err != nil {
 		return false
 	}
@@ -191,7 +192,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	res, err := quick.Do(req)
+	res, err := quickClient.Do(req)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -206,14 +207,14 @@
 	c.put(c.platform.url+standin.PathAdminBoxes, b)
 }
 
-// removeBox takes a box off the platform's list.
+// removeBox removes a box from the platform's list.
 func (c *cluster) removeBox(name string) {
 	c.t.Helper()
 	req, err := http.NewRequest(http.MethodDelete, c.platform.url+standin.PathAdminBoxes+"/"+name, nil)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	res, err := quick.Do(req)
+	res, err := quickClient.Do(req)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -230,7 +231,7 @@
 	c.put(c.targets[i].direct+standin.PathFaults, f)
 }
 
-// apply has a declaration accepted by the command line.
+// apply applies a declaration with the apply command.
 func (c *cluster) apply(declaration string) {
 	c.t.Helper()
 	file := filepath.Join(c.t.TempDir(), "rackspur.yaml")
@@ -243,7 +244,7 @@
 	}
 }
 
-// starts returns all start logs together.
+// starts returns the start logs of all targets.
 func (c *cluster) starts() []standin.Started {
 	c.t.Helper()
 	var all []standin.Started
@@ -271,7 +272,7 @@
 	return list
 }
 
-// client returns a caller that begins with the given entry box.
+// client returns a caller that tries the given entry box first.
 func (c *cluster) client(token string, first int) *caller.Client {
 	var urls []string
 	for i := range c.entries {
@@ -280,14 +281,14 @@
 	return caller.New(urls, token)
 }
 
-// context bounds a call by the test's patience.
+// context returns a context that expires after waitTimeout.
 func (c *cluster) context() context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	c.t.Cleanup(cancel)
 	return ctx
 }
 
-// id returns a fresh id whose home satisfies a condition.
+// id returns a fresh id.
 func (c *cluster) id(client *caller.Client) string {
 	c.t.Helper()
 	ids, refused, err := client.IDs(c.context(), 1)
@@ -297,12 +298,13 @@
 	return ids[0]
 }
 
-// payloads counts the jobs made, so that no two have the same payloads.
-var payloads atomic.Int64
+// jobNumber counts the jobs of newJob and makes each one's payloads unique.
+var jobNumber atomic.Int64
 
-// newJob returns a job whose payloads differ from those of all other jobs.
+// newJob returns a job of the kind whose tasks take ms milliseconds each and whose
+// payloads differ from those of all other jobs.
 func newJob(t testing.TB, kind string, tasks int, ms int) *api.Job {
-	number := payloads.Add(1)
+	number := jobNumber.Add(1)
 	job := &api.Job{Kind: kind}
 	for i := range tasks {
 		payload, _ := json.Marshal(map[string]any{"ms": ms, "of": t.Name(), "job": number, "task": i})
@@ -311,19 +313,19 @@
 	return job
 }
 
-// checkWhole fails the test unless the reply is the whole answer to the job.
-func checkWhole(t testing.TB, job *api.Job, r *caller.Reply) {
+// checkComplete fails the test unless the reply is a complete answer to the job.
+func checkComplete(t testing.TB, job *api.Job, r *caller.Reply) {
 	t.Helper()
 	if r.Answer == nil {
 		t.Fatalf("no answer: %+v", r.Problem)
 	}
-	if wrong := wholeness(job, r.Answer); wrong != "" {
+	if wrong := answerProblem(job, r.Answer); wrong != "" {
 		t.Fatal(wrong)
 	}
 }
 
-// wholeness says what is wrong with an answer, or nothing.
-func wholeness(job *api.Job, a *api.Answer) string {
+// answerProblem describes why an answer is not the complete answer to a job, or returns "".
+func answerProblem(job *api.Job, a *api.Answer) string {
 	if a.Outcome != api.Complete || len(a.Results) != len(job.Tasks) {
 		return fmt.Sprintf("outcome %s with %d of %d results", a.Outcome, len(a.Results), len(job.Tasks))
 	}
@@ -333,7 +335,7 @@
 			return fmt.Sprintf("result %d: %v", i, err)
 		}
 		if a.Results[i].Index != i || result.Digest != standin.Digest(task.Payload) {
-			return fmt.Sprintf("result %d belongs to another task", i)
+			return fmt.Sprintf("result %d is that of another task", i)
 		}
 	}
 	return ""
@@ -354,7 +356,7 @@
 	c.t.Helper()
 	for i, n := range c.startsOf(job) {
 		if n > 0 {
-			c.t.Errorf("task %d started %d times though the job did not run", i, n)
+			c.t.Errorf("task %d started %d times although the job was not to run", i, n)
 		}
 	}
 }
@@ -364,7 +366,7 @@
 	return len(c.starts())
 }
 
-// homeOf returns the index of the agent that judges an id.
+// homeOf returns the index of the agent that is the home of an id.
 func (c *cluster) homeOf(text string) int {
 	c.t.Helper()
 	v, err := id.Parse(text)
@@ -380,8 +382,8 @@
 	return -1
 }
 
-// settled waits until no agent that lives has anything in progress.
-func (c *cluster) settled() {
+// awaitIdle waits until no agent that answers has running or waiting tasks.
+func (c *cluster) awaitIdle() {
 	c.t.Helper()
 	waitFor(c.t, "all agents are idle", func() bool {
 		for _, a := range c.agents {
@@ -428,7 +430,7 @@
 	}
 }
 
-// takesWork reports whether an entry box thinks that an agent takes new work.
+// takesWork reports whether an entry box's view has an agent linked and not leaving.
 func takesWork(agents []entry.AgentView, address string) bool {
 	for _, a := range agents {
 		if a.Address == address {
--- a/test/command_test.go
+++ b/test/command_test.go
@@ -8,14 +8,15 @@
 	"testing"
 )
 
-// ran is what a command printed and how it ended.
-type ran struct {
+// commandResult is what a command printed and how it ended.
+type commandResult struct {
 	out, errOut string
 	code        int
 }
 
-// command runs the program to its end.
-func command(t testing.TB, in string, args ...string) ran {
+// command runs the program with the arguments and in as its standard input, and waits
+// for it to exit.
+func command(t testing.TB, in string, args ...string) commandResult {
 	t.Helper()
 	cmd := exec.Command(binary, args...)
 	var out, errOut bytes.Buffer
@@ -27,5 +28,5 @@
 	if err != nil && !errors.As(err, &exit) {
 		t.Fatal(err)
 	}
-	return ran{out: out.String(), errOut: errOut.String(), code: cmd.ProcessState.ExitCode()}
+	return commandResult{out: out.String(), errOut: errOut.String(), code: cmd.ProcessState.ExitCode()}
 }
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -15,7 +15,7 @@
 	"rackspur/store"
 )
 
-// inForceBound is what "within seconds" may be at most.
+// inForceBound is the longest time until an accepted version is in force everywhere.
 const inForceBound = 5 * time.Second
 
 func (c *cluster) version() uint64 {
@@ -49,12 +49,12 @@
 	})
 }
 
-// TestConfigRaces has operators apply changes at the same time, with answers
-// lost after taking effect. The history of reads and writes is checked against
-// a register that only grows by compare-and-set.
+// TestConfigRaces applies changes from several operators concurrently while some
+// answers are lost after the change took effect. The history of reads and writes must
+// be linearizable as a compare-and-set counter.
 func TestConfigRaces(t *testing.T) {
 	c := newCluster(t, shape{entries: 1, agents: 1, slots: 4})
-	document, err := config.Parse([]byte(declare("")))
+	document, err := config.Parse([]byte(declaration("")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,7 +105,7 @@
 	}
 }
 
-// casInput is a read, or a change that starts from a version.
+// casInput is a read, or a change based on a version.
 type casInput struct {
 	write bool
 	base  uint64
@@ -118,8 +118,8 @@
 	unknown bool
 }
 
-// casModel is a version that a change may only raise by one from its base. The
-// cluster begins with version 1.
+// casModel is a version counter: a change succeeds only if its base is the current
+// version, and increments it. The cluster starts with version 1.
 var casModel = porcupine.Model{
 	Init: func() any { return uint64(1) },
 	Step: func(state, input, output any) (bool, any) {
@@ -136,13 +136,14 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// TestConfigInForce accepts configurations under faults. Each comes into force
-// everywhere and none reverts; requests show the version they were handled under.
+// TestConfigInForce applies configurations under faults. Each must come into force
+// everywhere, no process may go back to an older version, and answers must name the
+// version they were handled under.
 func TestConfigInForce(t *testing.T) {
 	cases := []struct {
-		name  string
-		fault func(t *testing.T, c *cluster)
-		mend  func(t *testing.T, c *cluster)
+		name   string
+		fault  func(t *testing.T, c *cluster)
+		repair func(t *testing.T, c *cluster)
 	}{
 		{"1 no fault", func(*testing.T, *cluster) {}, func(*testing.T, *cluster) {}},
 		{"2 agent frozen across versions", func(_ *testing.T, c *cluster) { c.agents[0].freeze() }, func(_ *testing.T, c *cluster) { c.agents[0].thaw() }},
@@ -166,15 +167,15 @@
 			watch := watchVersions(c)
 			tc.fault(t, c)
 			for i := range 3 {
-				c.apply(declare(fmt.Sprintf("limits: {max_tasks: %d}", 100+i)))
+				c.apply(declaration(fmt.Sprintf("limits: {max_tasks: %d}", 100+i)))
 			}
 			accepted := time.Now()
-			tc.mend(t, c)
-			mended := time.Now()
+			tc.repair(t, c)
+			repaired := time.Now()
 			c.awaitVersion(4)
-			t.Logf("in force everywhere %s after acceptance, %s after the mend", time.Since(accepted).Round(time.Millisecond), time.Since(mended).Round(time.Millisecond))
-			if time.Since(mended) > inForceBound {
-				t.Errorf("in force only after %s", time.Since(mended))
+			t.Logf("in force everywhere %s after acceptance, %s after the fault was removed", time.Since(accepted).Round(time.Millisecond), time.Since(repaired).Round(time.Millisecond))
+			if time.Since(repaired) > inForceBound {
+				t.Errorf("in force everywhere only %s after the fault was removed", time.Since(repaired))
 			}
 			client := c.client(tokenA, 1)
 			job := newJob(t, "swap", 2, 20)
@@ -182,7 +183,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			checkWhole(t, job, r)
+			checkComplete(t, job, r)
 			if r.Answer.Version < 4 {
 				t.Errorf("handled under version %d", r.Answer.Version)
 			}
@@ -193,9 +194,9 @@
 	}
 }
 
-// watchVersions looks at the versions of all processes again and again. The
-// function that it returns ends this and tells of a version that went back. A
-// process that was restarted may begin anew.
+// watchVersions polls the versions of all processes until the returned function is
+// called, which describes the first version that went back, if any. A restarted agent
+// is a new incarnation and may start from any version.
 func watchVersions(c *cluster) func() string {
 	ctx, cancel := context.WithCancel(context.Background())
 	result := make(chan string, 1)
@@ -232,23 +233,23 @@
 }
 
 // TestConfigStaleEntry freezes an entry box while a member's credentials are
-// replaced. When it wakes it may not act on what it knew before.
+// replaced. Once resumed, it must not accept the old ones.
 func TestConfigStaleEntry(t *testing.T) {
 	for _, method := range []string{http.MethodPut, http.MethodGet, http.MethodDelete} {
 		t.Run(method, func(t *testing.T) {
 			t.Parallel()
-			askStale(t, method)
+			checkStaleEntry(t, method)
 		})
 	}
 }
 
-func askStale(t *testing.T, method string) {
+func checkStaleEntry(t *testing.T, method string) {
 	c := newCluster(t, shape{entries: 2, agents: 1, slots: 4})
 	stale := c.entries[1]
 	client := c.client(tokenA, 1)
 	id := c.id(client)
 	stale.freeze()
-	// The member's credentials are replaced while the entry box sleeps.
+	// Replace the member's credentials while the entry box is frozen.
 	c.apply(`members:
   - {name: ghanta, secrets: ['` + hashB + `']}
 kinds:
@@ -271,9 +272,9 @@
 	c.platformFaults(standin.PlatformFaults{Down: true})
 	stale.thaw()
 	if status := <-answer; status != http.StatusUnauthorized {
-		t.Errorf("a stale entry box took withdrawn credentials: status %d", status)
+		t.Errorf("a stale entry box accepted replaced credentials: status %d", status)
 	}
-	c.settled()
+	c.awaitIdle()
 	c.checkNever(job)
 }
 
--- a/test/deployment_test.go
+++ b/test/deployment_test.go
@@ -21,7 +21,7 @@
 	"rackspur/rowstore"
 )
 
-// Ports of every machine of a deployment; machines differ by their address.
+// Ports of every box of a deployment; each box has its own loopback address.
 const (
 	platformFrontPort     = "18161"
 	platformReadinessPort = "18167"
@@ -29,7 +29,7 @@
 	platformInternalPort  = 17720
 	platformProxyPort     = "17719"
 	platformStoreProxy    = "18170"
-	platformAppProxy      = "18171"
+	platformTargetProxy   = "18171"
 )
 
 const (
@@ -40,46 +40,46 @@
 	platformAttempts = 3
 )
 
-// deployment is the program's two roles as processes of their own on the users'
-// platform: a store, executors and clients are stand-ins in the test's process,
-// and each connection of a daemon goes through a proxy of its machine.
+// deployment runs entries and agents as processes. The store, the targets and the
+// callers are stand-ins in the test's process, and the connections of each process go
+// through the proxies of its box.
 type deployment struct {
 	t        testing.TB
 	store    *rowstore.Memory
 	storeURL string
-	entries  []*machine
-	agents   []*machine
+	entries  []*box
+	agents   []*box
 	mu       sync.Mutex
-	// lives counts the executors' lives.
+	// lives counts the lives of targets that newLife started.
 	lives int
 	// entryArgs are further arguments of the entries.
 	entryArgs []string
-	// slowClocks: every other life of an executor has the slowest clock allowed.
+	// slowClocks gives every other life of a target the slowest clock allowed.
 	slowClocks bool
-	// domains is how many failure domains the machines are spread over; 0 means one.
+	// domains is the number of failure domains; 0 means one.
 	domains int
-	// bounds are those that the settings tell.
+	// bounds are the bounds in the settings files.
 	bounds platformBounds
 }
 
-// machine is a process of the program with the proxies around it.
-type machine struct {
+// box is an entry or an agent with its proxies and, for an agent, its target.
+type box struct {
 	*process
-	ip string
-	// domain is its failure domain.
+	ip     string
 	domain string
-	// store and app are between the process and the store or its executor;
-	// inward is where other daemons reach an agent and clients an entry.
-	store, app, inward *proxy
-	// port is the executor of the machine; past has its lives that have crashed.
-	port *standin.ExecutorPort
-	past []*standin.Executor
-	// busy is held by the fault that stops or starts the process.
+	// storeProxy and targetProxy are between the process and the store or its target;
+	// inbound is where entries and other agents reach an agent, and callers an entry.
+	storeProxy, targetProxy, inbound *proxy
+	// port is the agent's target; former holds the target's lives that have crashed.
+	port   *standin.ExecutorPort
+	former []*standin.Executor
+	// busy is held by a fault that stops, starts or signals the process.
 	busy sync.Mutex
+	// work decides how long a run takes and how it ends.
 	work func(job.RunName) (time.Duration, gate.EndKind)
 }
 
-// platformWork gives each run a time and an end by its name; one in thirty fails.
+// platformWork derives the duration and the end of a run from its name; one in thirty fails.
 func platformWork(n job.RunName) (time.Duration, gate.EndKind) {
 	if lasts, ok := longWork(n.Job); ok {
 		return lasts, gate.EndDone
@@ -91,14 +91,14 @@
 	return time.Duration(20+mix%180) * time.Millisecond, gate.EndDone
 }
 
-// newDeployment starts so many entries and agents and waits until they serve.
+// newDeployment starts entries and agents and waits until the entries are ready.
 func newDeployment(t testing.TB, entries, agents int, entryArgs ...string) *deployment {
 	d := &deployment{t: t, entryArgs: entryArgs, bounds: usualBounds}
 	d.begin(entries, agents)
 	return d
 }
 
-// begin starts so many entries and agents and waits until they serve.
+// begin starts entries and agents and waits until the entries are ready.
 func (d *deployment) begin(entries, agents int) {
 	t := d.t
 	d.store = rowstore.NewMemory()
@@ -115,8 +115,8 @@
 	}
 }
 
-// configure writes a version of the configuration. Each has the route of all jobs and
-// one of its own.
+// configure writes a version of the configuration. Each version has the route of all
+// jobs and one that no other version has.
 func (d *deployment) configure(version int) {
 	route := func(name, prefix string) string {
 		return fmt.Sprintf(`{"name":%q,"host":%q,"pathPrefix":%q,"timeoutMs":1500,"targetLatencyMs":60,"service":%q,"attempts":%d,"stretch":1.6}`,
@@ -125,20 +125,21 @@
 	value := fmt.Sprintf(`{"version":%d,"routes":[%s,%s],"services":[{"name":%q,"enforcesCapacity":true}],"limits":{"maxBodyBytes":262144}}`,
 		version, route("checks", platformPrefix), route("own", versionPrefix(version)), platformService)
 	put := rowstore.Transaction{Puts: []rowstore.Put{{Key: rowstore.Key{Table: "op", Name: "config"}, Value: []byte(value)}}}
-	written := holdsWithin(patience, func() bool {
+	written := holdsWithin(waitTimeout, func() bool {
 		_, err := d.store.Transact(context.Background(), put)
 		return err == nil
 	})
 	if !written {
-		d.t.Errorf("version %d of the configuration was never written", version)
+		d.t.Errorf("version %d of the configuration could not be written", version)
 	}
 }
 
-// versionPrefix is the path of the route that only one version of the configuration has.
+// versionPrefix returns the path prefix of the route that only the version has.
 func versionPrefix(version int) string { return fmt.Sprintf("/version-%d/", version) }
 
-// machineIP returns an address of the loopback range that no other test uses.
-func machineIP(kind, i int) string {
+// boxIP returns the loopback address of box i of a kind, derived from the process id so
+// that concurrent test processes use different ones.
+func boxIP(kind, i int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%128, os.Getpid()/128%250, 20*kind+i+2)
 }
 
@@ -154,41 +155,42 @@
 	return l.Addr().String()
 }
 
-// domainOf is the failure domain of a role's machine by its number.
+// domainOf returns the failure domain of box i of a role.
 func (d *deployment) domainOf(i int) string { return domainName(i % max(1, d.domains)) }
 
-func (d *deployment) startEntry(i int) *machine {
-	m := &machine{ip: machineIP(0, i), domain: d.domainOf(i)}
-	m.store = newProxy(d.t, m.ip+":"+platformStoreProxy, d.storeURL)
+func (d *deployment) startEntry(i int) *box {
+	m := &box{ip: boxIP(0, i), domain: d.domainOf(i)}
+	m.storeProxy = newProxy(d.t, m.ip+":"+platformStoreProxy, d.storeURL)
 	m.process = startWith(d.t, fmt.Sprintf("entry-%d", i), []string{"RACKSPUR_SETTINGS=" + d.settings(m, fmt.Sprintf("entry-%d", i), "edge")},
 		append([]string{"platform", "entry"}, d.entryArgs...)...)
-	m.inward = newProxy(d.t, m.ip+":"+platformProxyPort, m.ip+":"+platformFrontPort)
+	m.inbound = newProxy(d.t, m.ip+":"+platformProxyPort, m.ip+":"+platformFrontPort)
 	return m
 }
 
-func (d *deployment) startAgent(i int) *machine {
-	m := &machine{ip: machineIP(1, i), domain: d.domainOf(i), work: platformWork}
+func (d *deployment) startAgent(i int) *box {
+	m := &box{ip: boxIP(1, i), domain: d.domainOf(i), work: platformWork}
 	m.port = &standin.ExecutorPort{Need: job.Resources{CPU: 1600, Memory: 64}, Service: platformService}
 	d.newLife(m)
 	app := serveOn(d.t, "127.0.0.1:0", m.port.Handler())
-	m.store = newProxy(d.t, m.ip+":"+platformStoreProxy, d.storeURL)
-	m.app = newProxy(d.t, m.ip+":"+platformAppProxy, app)
-	m.inward = newProxy(d.t, m.ip+":"+platformProxyPort, fmt.Sprintf("%s:%d", m.ip, platformInternalPort))
+	m.storeProxy = newProxy(d.t, m.ip+":"+platformStoreProxy, d.storeURL)
+	m.targetProxy = newProxy(d.t, m.ip+":"+platformTargetProxy, app)
+	m.inbound = newProxy(d.t, m.ip+":"+platformProxyPort, fmt.Sprintf("%s:%d", m.ip, platformInternalPort))
 	m.process = startWith(d.t, fmt.Sprintf("agent-%d", i), []string{"RACKSPUR_SETTINGS=" + d.settings(m, fmt.Sprintf("agent-%d", i), "side")},
-		"platform", "agent", "--advertise", m.inward.address)
+		"platform", "agent", "--advertise", m.inbound.address)
 	ctx, cancel := context.WithCancel(context.Background())
 	d.t.Cleanup(cancel)
 	go m.port.Beat(ctx, m.ip+":"+platformControlPort, 300*time.Millisecond)
 	return m
 }
 
-// newLife begins a new life of a machine's executor; a former one crashes.
-func (d *deployment) newLife(m *machine) {
+// newLife crashes a box's target, if there is one, and starts a new life of it under
+// another id.
+func (d *deployment) newLife(m *box) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if old := m.port.Executor(); old != nil {
 		old.Crash()
-		m.past = append(m.past, old)
+		m.former = append(m.former, old)
 	}
 	d.lives++
 	e := standin.NewExecutor(fmt.Sprintf("i-%d", d.lives), job.Resources{CPU: 16000, Memory: 32768}, m.work)
@@ -199,19 +201,19 @@
 	m.port.SetExecutor(e)
 }
 
-// restartTarget crashes a machine's executor and starts it again under the same id after
-// a time. It sends its first heartbeat at once.
-func (d *deployment) restartTarget(m *machine, down time.Duration) {
+// restartTarget crashes a box's target and restarts it under the same id after a time.
+// The new life sends its first heartbeat at once.
+func (d *deployment) restartTarget(m *box, down time.Duration) {
 	old := m.port.Executor()
 	old.Crash()
 	pause(down)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if m.port.Executor() != old {
-		// It was started anew under another id meanwhile.
+		// newLife has started another one meanwhile.
 		return
 	}
-	m.past = append(m.past, old)
+	m.former = append(m.former, old)
 	next := old.Again()
 	m.port.SetExecutor(next)
 	if beat, ok := next.Beat(); ok {
@@ -219,18 +221,18 @@
 	}
 }
 
-// settings writes a machine's settings file and returns its path.
-func (d *deployment) settings(m *machine, node, class string) string {
+// settings writes a box's settings file and returns its path.
+func (d *deployment) settings(m *box, node, class string) string {
 	d.t.Helper()
 	s := map[string]any{
 		"node": node, "class": class, "ip": m.ip, "zone": m.domain, "internalPorts": []int{platformInternalPort, platformInternalPort + 9},
 		"listen":   map[string]string{"front": m.ip + ":" + platformFrontPort, "readiness": m.ip + ":" + platformReadinessPort, "control": m.ip + ":" + platformControlPort},
 		"commands": "dispatch",
 		"bounds":   d.bounds.settings(),
-		"platform": map[string]any{"address": m.store.address, "writes_per_s": 800, "part_writes_per_s": 300},
+		"platform": map[string]any{"address": m.storeProxy.address, "writes_per_s": 800, "part_writes_per_s": 300},
 	}
-	if m.app != nil {
-		s["app"] = m.app.address
+	if m.targetProxy != nil {
+		s["app"] = m.targetProxy.address
 		s["service"] = platformService
 	}
 	b, err := json.Marshal(s)
@@ -244,7 +246,7 @@
 	return path
 }
 
-// spans returns what all lives of all executors have seen, by task.
+// spans returns the runs at all lives of all targets by task, in order of their start.
 func (d *deployment) spans() map[job.TaskName][]standin.Span {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -262,31 +264,31 @@
 	return all
 }
 
-// allLives returns the lives of a machine's executor, the newest last.
-func (m *machine) allLives() []*standin.Executor {
-	return append(append([]*standin.Executor(nil), m.past...), m.port.Executor())
+// allLives returns the lives of a box's target, the newest last.
+func (m *box) allLives() []*standin.Executor {
+	return append(append([]*standin.Executor(nil), m.former...), m.port.Executor())
 }
 
-// platformClient is a client of the platform that keeps its connections open.
+// platformClient is the callers' client, which reuses connections.
 var platformClient = &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
 
-// platformDeadline is how long a client says that it waits for an answer.
+// platformDeadline is the deadline that callers name in their requests.
 const platformDeadline = 1500 * time.Millisecond
 
-// ask makes a client's call at an entry and returns the status and the state in
-// the answer; status 0 says that there was no answer.
-func (m *machine) ask(method, id string, body []byte) (status int, state string) {
+// ask sends a caller's request for a job to an entry and returns the status and the
+// state in the answer; status 0 means that there was no answer.
+func (m *box) ask(method, id string, body []byte) (status int, state string) {
 	return m.askPath(method, platformPrefix+id, body)
 }
 
-// askPath makes a client's call to a path.
-func (m *machine) askPath(method, path string, body []byte) (status int, state string) {
+// askPath is ask for any path.
+func (m *box) askPath(method, path string, body []byte) (status int, state string) {
 	return m.askWithin(platformClient, platformDeadline, method, path, body)
 }
 
-// askWithin makes a client's call that names a deadline.
-func (m *machine) askWithin(client *http.Client, deadline time.Duration, method, path string, body []byte) (status int, state string) {
-	req, err := http.NewRequest(method, "http://"+m.inward.address+path, bytes.NewReader(body))
+// askWithin is askPath with a client and a deadline.
+func (m *box) askWithin(client *http.Client, deadline time.Duration, method, path string, body []byte) (status int, state string) {
+	req, err := http.NewRequest(method, "http://"+m.inbound.address+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, ""
 	}
@@ -306,15 +308,15 @@
 	return res.StatusCode, answer.State
 }
 
-// platformJob is the body of a submission.
+// platformJob returns the body of a submission.
 func platformJob(tasks int, bestEffort bool) []byte {
 	return platformJobOf(tasks, bestEffort, platformEstimate)
 }
 
-// platformEstimate is about what a run of platformWork takes.
+// platformEstimate is the mean duration of platformWork's short runs.
 const platformEstimate = 110 * time.Millisecond
 
-// platformJobOf is the body of a submission whose tasks take about so long.
+// platformJobOf returns the body of a submission with an estimate of its tasks' duration.
 func platformJobOf(tasks int, bestEffort bool, estimate time.Duration) []byte {
 	return fmt.Appendf(nil, `{"spec":"x","bestEffort":%v,"steps":[{"count":%d,"cpu":1600,"memMb":64,"estimateMs":%d}]}`,
 		bestEffort, tasks, estimate.Milliseconds())
--- a/test/leaving_test.go
+++ b/test/leaving_test.go
@@ -13,12 +13,12 @@
 	"rackspur/store"
 )
 
-// leavingBound is what "a few seconds" may be at most.
+// leavingBound is the longest time from the cause to the last start at a leaving target.
 const leavingBound = 5 * time.Second
 
-// steady sends jobs from several callers until stop is called, which
-// returns the outcomes that were not complete.
-type steady struct {
+// steadyLoad sends jobs from several callers until stop is called, which returns a
+// description of each submission that was not answered completely.
+type steadyLoad struct {
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 	mu     sync.Mutex
@@ -26,9 +26,9 @@
 	sent   atomic.Int64
 }
 
-func startLoad(c *cluster, callers, tasks, ms int) *steady {
+func startLoad(c *cluster, callers, tasks, ms int) *steadyLoad {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &steady{cancel: cancel}
+	l := &steadyLoad{cancel: cancel}
 	for i := range callers {
 		client := c.client(tokenA, i)
 		l.wg.Add(1)
@@ -42,16 +42,16 @@
 	return l
 }
 
-func (l *steady) one(c *cluster, ctx context.Context, client *caller.Client, job *api.Job) {
+func (l *steadyLoad) one(c *cluster, ctx context.Context, client *caller.Client, job *api.Job) {
 	ids, _, err := client.IDs(ctx, 1)
 	if err != nil || len(ids) == 0 {
 		return
 	}
 	l.sent.Add(1)
-	// A submission that has begun is finished even when the load stops.
+	// c.context, not ctx: a submission in progress continues when the load stops.
 	reply, err := client.Submit(c.context(), ids[0], job)
 	for err == nil && reply.Outcome() == api.NotRun {
-		// Truthfully refused: the caller comes back with a fresh id.
+		// The job did not run: retry under a fresh id.
 		fresh, _, idErr := client.IDs(c.context(), 1)
 		if idErr != nil || len(fresh) == 0 {
 			return
@@ -65,7 +65,7 @@
 	case reply.Answer == nil:
 		wrong = string(reply.Problem.Outcome) + " " + reply.Problem.Reason + " " + reply.Problem.Detail
 	default:
-		wrong = wholeness(job, reply.Answer)
+		wrong = answerProblem(job, reply.Answer)
 	}
 	if wrong != "" {
 		l.mu.Lock()
@@ -74,7 +74,7 @@
 	}
 }
 
-func (l *steady) stop() []string {
+func (l *steadyLoad) stop() []string {
 	l.cancel()
 	l.wg.Wait()
 	l.mu.Lock()
@@ -82,8 +82,8 @@
 	return l.wrong
 }
 
-// TestLeaving has a target leave in each way, under load, and measures the time
-// from the cause to the last start.
+// TestLeaving makes a target leave in each possible way, under load, and checks the
+// time from the cause to the last start there.
 func TestLeaving(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -106,17 +106,17 @@
 			c.platformFaults(standin.PlatformFaults{Down: true})
 			c.agents[0].stop()
 		}},
-		{"7 declaration", func(_ *testing.T, c *cluster) { c.apply(declare("leaving: [engine-1]")) }},
+		{"7 declaration", func(_ *testing.T, c *cluster) { c.apply(declaration("leaving: [engine-1]")) }},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			c := newCluster(t, shape{entries: 2, agents: 3, slots: 4})
 			l := startLoad(c, 12, 2, 50)
-			waitFor(t, "the target works", func() bool { return len(c.startLog(0)) > 20 })
+			waitFor(t, "the target runs tasks", func() bool { return len(c.startLog(0)) > 20 })
 			begun := time.Now()
 			tc.cause(t, c)
-			waitFor(t, "both entry boxes know it", func() bool {
+			waitFor(t, "both entry boxes know that the agent leaves", func() bool {
 				for _, e := range c.entries {
 					st, ok := entryStatus(e)
 					if !ok || takesWork(st.Agents, c.agents[0].address) {
@@ -127,9 +127,9 @@
 			})
 			known := time.Now()
 			before := c.totalStarts()
-			waitFor(t, "the others go on", func() bool { return c.totalStarts() > before+60 })
+			waitFor(t, "the other targets run tasks", func() bool { return c.totalStarts() > before+60 })
 			if wrong := l.stop(); len(wrong) > 0 {
-				t.Errorf("%d of %d submissions went wrong: %s", len(wrong), l.sent.Load(), wrong[0])
+				t.Errorf("%d of %d submissions failed: %s", len(wrong), l.sent.Load(), wrong[0])
 			}
 			last := time.Time{}
 			for _, s := range c.startLog(0) {
@@ -137,9 +137,9 @@
 					last = s.At
 				}
 			}
-			t.Logf("last start %s after the cause; known after %s", last.Sub(begun).Round(time.Millisecond), known.Sub(begun).Round(time.Millisecond))
+			t.Logf("last start %s after the cause; known to the entry boxes after %s", last.Sub(begun).Round(time.Millisecond), known.Sub(begun).Round(time.Millisecond))
 			if last.Sub(begun) > leavingBound {
-				t.Errorf("new work %s after the cause", last.Sub(begun))
+				t.Errorf("the leaving target started a task %s after the cause", last.Sub(begun))
 			}
 			c.checkNoDoubles()
 		})
--- a/test/main_test.go
+++ b/test/main_test.go
@@ -1,5 +1,5 @@
-// Package test holds the integration tests: real processes behind a proxy that
-// injects faults, judged by the targets' own start logs and by what callers got.
+// Package test holds the integration tests: they run real processes behind proxies that
+// inject faults, and check the targets' start logs and the answers that callers got.
 package test
 
 import (
--- a/test/notrun_test.go
+++ b/test/notrun_test.go
@@ -21,7 +21,7 @@
 
 func body(t *testing.T, url string) []byte {
 	t.Helper()
-	res, err := quick.Get(url)
+	res, err := quickClient.Get(url)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,34 +33,34 @@
 	return b
 }
 
-// TestNotRun provokes each refusal. What was refused as "not run" has not run
-// and does not run later, also when the same id is sent again.
+// TestNotRun provokes each reason to refuse a job. A job refused as "not-run" must not
+// have run and must not run later, even if it is sent again under the same id.
 func TestNotRun(t *testing.T) {
 	cases := []struct {
 		name        string
 		declaration string
-		// refuse brings about the refusal of a job under an id.
+		// refuse causes the job with the id to be refused.
 		refuse func(t *testing.T, c *cluster, id string, job *api.Job)
 		reason string
 		status int
 	}{
 		{name: "1 quota of the rate", declaration: quota("rate: 0.001"), reason: "quota-rate", status: http.StatusTooManyRequests,
-			refuse: func(t *testing.T, c *cluster, _ string, _ *api.Job) { use(t, c, 1, 50) }},
+			refuse: func(t *testing.T, c *cluster, _ string, _ *api.Job) { consumeQuota(t, c, 1, 50) }},
 		{name: "2 quota of the concurrency", declaration: quota("concurrency: 1"), reason: "quota-concurrency", status: http.StatusTooManyRequests,
-			refuse: func(t *testing.T, c *cluster, _ string, _ *api.Job) { occupy(t, c, 1, 1200) }},
-		{name: "3 admission", declaration: declare("limits: {max_wait_ms: 1}"), reason: "overloaded", status: http.StatusTooManyRequests,
-			refuse: func(t *testing.T, c *cluster, _ string, _ *api.Job) { occupy(t, c, 120, 400) }},
-		{name: "4 target leaving", declaration: declare(""), reason: "leaving", status: http.StatusServiceUnavailable,
+			refuse: func(t *testing.T, c *cluster, _ string, _ *api.Job) { occupySlots(t, c, 1, 1200) }},
+		{name: "3 admission", declaration: declaration("limits: {max_wait_ms: 1}"), reason: "overloaded", status: http.StatusTooManyRequests,
+			refuse: func(t *testing.T, c *cluster, _ string, _ *api.Job) { occupySlots(t, c, 120, 400) }},
+		{name: "4 target leaving", declaration: declaration(""), reason: "leaving", status: http.StatusServiceUnavailable,
 			refuse: func(t *testing.T, c *cluster, id string, _ *api.Job) { drain(t, c, c.homeOf(id)) }},
-		{name: "5 cancelled before it was sent", declaration: declare(""), reason: "cancelled", status: http.StatusServiceUnavailable,
+		{name: "5 cancelled before it was sent", declaration: declaration(""), reason: "cancelled", status: http.StatusServiceUnavailable,
 			refuse: func(t *testing.T, c *cluster, id string, _ *api.Job) {
 				if _, err := c.client(tokenA, 0).Once(c.context(), http.MethodDelete, id, nil); err != nil {
 					t.Fatal(err)
 				}
 			}},
-		{name: "6 home left in order", declaration: declare(""), reason: "left", status: http.StatusServiceUnavailable,
+		{name: "6 home left in order", declaration: declaration(""), reason: "left", status: http.StatusServiceUnavailable,
 			refuse: func(t *testing.T, c *cluster, id string, _ *api.Job) { c.agents[c.homeOf(id)].stop() }},
-		{name: "7 home left while the store was down", declaration: declare(""), reason: "left", status: http.StatusServiceUnavailable,
+		{name: "7 home left while the store was down", declaration: declaration(""), reason: "left", status: http.StatusServiceUnavailable,
 			refuse: func(t *testing.T, c *cluster, id string, _ *api.Job) {
 				c.platformFaults(standin.PlatformFaults{Down: true})
 				c.agents[c.homeOf(id)].stop()
@@ -82,7 +82,7 @@
 				if r.Outcome() != api.NotRun || r.Problem.Reason != tc.reason || r.Status != tc.status {
 					t.Fatalf("want not-run for %s: status %d, %+v %+v", tc.reason, r.Status, r.Problem, r.Answer)
 				}
-				c.settled()
+				c.awaitIdle()
 			}
 			c.platformFaults(standin.PlatformFaults{})
 			r, err := client.Once(c.context(), http.MethodPut, id, mustJSON(t, job))
@@ -94,31 +94,31 @@
 	}
 }
 
-// quota is the test declaration with a quota for the first member.
+// quota returns the test declaration with a quota for the first member.
 func quota(line string) string {
-	d := declare("")
+	d := declaration("")
 	return "members:\n  - {name: ghanta, secrets: ['" + hashA + "'], " + line + "}" + d[len("members:\n  - {name: ghanta, secrets: ['"+hashA+"']}"):]
 }
 
-// use has jobs answered, so that the quota is used up.
-func use(t *testing.T, c *cluster, tasks, ms int) {
+// consumeQuota runs a job to completion, which uses up the quota.
+func consumeQuota(t *testing.T, c *cluster, tasks, ms int) {
 	client := c.client(tokenA, 0)
 	job := newJob(t, "swap", tasks, ms)
 	r, err := client.Submit(c.context(), c.id(client), job)
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkWhole(t, job, r)
+	checkComplete(t, job, r)
 }
 
-// occupy has a job running whose tasks have started.
-func occupy(t *testing.T, c *cluster, tasks, ms int) {
+// occupySlots submits a job and returns while its tasks run.
+func occupySlots(t *testing.T, c *cluster, tasks, ms int) {
 	client := c.client(tokenA, 0)
 	job := newJob(t, "reshuffle", tasks, ms)
 	id := c.id(client)
 	go func() { _, _ = client.Submit(c.context(), id, job) }()
 	c.awaitStarts(job, min(tasks, 8))
-	waitFor(t, "the entry box knows the load", func() bool {
+	waitFor(t, "the entry box knows of the running tasks", func() bool {
 		st, ok := entryStatus(c.entries[0])
 		running := uint32(0)
 		for _, a := range st.Agents {
@@ -128,23 +128,23 @@
 	})
 }
 
-// drain tells the agent to leave by the command line and waits until it does.
+// drain makes an agent leave with the drain command and waits until it is leaving.
 func drain(t *testing.T, c *cluster, agent int) {
 	t.Helper()
 	r := command(t, "", "drain", c.agents[agent].name, "--ops", c.entries[0].ops)
 	if r.code != 0 {
 		t.Fatal(r.errOut)
 	}
-	waitFor(t, "the agent leaves", func() bool {
+	waitFor(t, "the agent is leaving", func() bool {
 		st, ok := agentStatus(c.agents[agent])
 		return ok && st.Leaving
 	})
 }
 
-// TestBadInput sends what can't be taken. Nothing starts, and no outcome is
-// claimed for the id, which stays usable.
+// TestBadInput sends invalid requests. Nothing may start, and the answer must not
+// contain an outcome: the id stays usable.
 func TestBadInput(t *testing.T) {
-	c := newCluster(t, shape{entries: 1, agents: 1, slots: 4, declaration: declare("limits: {max_body_bytes: 20000, max_tasks: 380}")})
+	c := newCluster(t, shape{entries: 1, agents: 1, slots: 4, declaration: declaration("limits: {max_body_bytes: 20000, max_tasks: 380}")})
 	client := c.client(tokenA, 0)
 	id := c.id(client)
 	many := newJob(t, "swap", 381, 1)
@@ -160,7 +160,7 @@
 		{"3 something after the value", []byte(`{"kind":"swap","tasks":[{"payload":{}}]} {}`), http.StatusBadRequest},
 		{"4 unknown kind", []byte(`{"kind":"nap","tasks":[{"payload":{}}]}`), http.StatusBadRequest},
 		{"5 no tasks", []byte(`{"kind":"swap","tasks":[]}`), http.StatusBadRequest},
-		{"6 too many tasks", mustJSON(t, &api.Job{Kind: "swap", Tasks: small(many.Tasks)}), http.StatusBadRequest},
+		{"6 too many tasks", mustJSON(t, &api.Job{Kind: "swap", Tasks: withSmallPayloads(many.Tasks)}), http.StatusBadRequest},
 		{"7 task without a payload", []byte(`{"kind":"swap","tasks":[{}]}`), http.StatusBadRequest},
 		{"8 negative deadline", []byte(`{"kind":"swap","deadline_ms":-1,"tasks":[{"payload":{}}]}`), http.StatusBadRequest},
 		{"9 deadline past the kind's", []byte(`{"kind":"swap","deadline_ms":10001,"tasks":[{"payload":{}}]}`), http.StatusBadRequest},
@@ -181,7 +181,7 @@
 	if n := c.totalStarts(); n != 0 {
 		t.Errorf("%d tasks started", n)
 	}
-	// A request that may not be repeated is not taken without an id.
+	// A job of a kind that is not repeatable is refused without an id.
 	r, err := client.Once(c.context(), http.MethodPost, "", nil)
 	if err != nil || r.Status < http.StatusBadRequest {
 		t.Errorf("POST without an id: %v %+v", err, r)
@@ -191,25 +191,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkWhole(t, job, reply)
+	checkComplete(t, job, reply)
 	other, err := client.Once(c.context(), http.MethodPut, id, mustJSON(t, newJob(t, "swap", 1, 10)))
 	if err != nil || other.Status != http.StatusConflict {
 		t.Errorf("another job under the same id: %v %+v", err, other)
 	}
 }
 
-// small keeps the body under its bound so that the number of tasks is what is wrong.
-func small(tasks []api.Task) []api.Task {
+// withSmallPayloads keeps the body below its limit, so that only the number of tasks is
+// too large.
+func withSmallPayloads(tasks []api.Task) []api.Task {
 	for i := range tasks {
 		tasks[i].Payload = json.RawMessage("{}")
 	}
 	return tasks
 }
 
-// TestExpiredID uses an id after its block has expired. The job does not run, and
-// the answer is "forgotten": not even "not run" can be known any more.
+// TestExpiredID uses an id after its block has expired. The job must not run, and the
+// outcome is "forgotten": the home no longer knows whether the id was used.
 func TestExpiredID(t *testing.T) {
-	c := newCluster(t, shape{entries: 1, agents: 1, slots: 4, declaration: declare("limits: {block_lifetime_ms: 3000, block_mint_ms: 1500}")})
+	c := newCluster(t, shape{entries: 1, agents: 1, slots: 4, declaration: declaration("limits: {block_lifetime_ms: 3000, block_mint_ms: 1500}")})
 	client := c.client(tokenA, 0)
 	id := c.id(client)
 	waitFor(t, "the id expires", func() bool {
--- a/test/once_test.go
+++ b/test/once_test.go
@@ -11,7 +11,7 @@
 	"rackspur/internal/standin"
 )
 
-// onceRun is a submission under way, to which a case adds its fault.
+// onceRun is a submission in progress during which a case injects its fault.
 type onceRun struct {
 	*cluster
 	id    string
@@ -20,28 +20,29 @@
 	first *caller.Client
 }
 
-// awaitOther waits until the agent after the home runs a part of the job, if the
-// job has parts.
+// awaitOther waits until the agent after the home runs a task of the job, if the job
+// has more than one.
 func (r *onceRun) awaitOther() {
 	if len(r.job.Tasks) > 1 {
-		waitFor(r.t, "another agent runs a part", func() bool { return len(r.startLog((r.home+1)%3)) > 0 })
+		waitFor(r.t, "another agent runs a task", func() bool { return len(r.startLog((r.home+1)%3)) > 0 })
 	}
 }
 
-// onceCase disturbs a submission that is sent twice.
+// onceCase is a fault during a submission that is sent several times.
 type onceCase struct {
 	name string
-	// before is the fault that stands when the job is first sent.
+	// before injects a fault before the job is first sent.
 	before func(r *onceRun)
-	// during is the fault added when the first tasks have started.
+	// during injects a fault once the first task has started.
 	during func(r *onceRun)
-	// after ends the fault before the last resubmission.
+	// after removes the fault before the last resubmission.
 	after func(r *onceRun)
-	// complete tells that the final answer must be the whole one.
+	// complete requires the final outcome to be complete.
 	complete bool
 }
 
-// resetBytes is past the head of a request, so that the request was written.
+// resetBytes is more than the header of a request, so that the reset comes after the
+// request was written.
 const resetBytes = 700
 
 var onceCases = []onceCase{
@@ -106,8 +107,8 @@
 		after: func(r *onceRun) { r.platformFaults(standin.PlatformFaults{}) }},
 }
 
-// TestOnceJob sends a job of many tasks under faults and sends it again under
-// the same id through both entry boxes. No task may start twice.
+// TestOnceJob sends a job of many tasks under faults, several times under the same id
+// through both entry boxes. No task may start twice.
 func TestOnceJob(t *testing.T) {
 	for _, tc := range onceCases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -117,7 +118,7 @@
 	}
 }
 
-// TestOnceSingle is TestOnceJob for requests of one task that may not be repeated.
+// TestOnceSingle is TestOnceJob with a single task of a kind that is not repeatable.
 func TestOnceSingle(t *testing.T) {
 	for _, tc := range onceCases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -148,7 +149,7 @@
 		c.awaitStarts(r.job, 1)
 		tc.during(r)
 	}
-	// One more resubmission while the fault stands; it need not succeed.
+	// Resubmit once during the fault; this may fail.
 	brief, stop := context.WithTimeout(ctx, 1500*time.Millisecond)
 	_, _ = c.client(tokenA, 1).Submit(brief, r.id, r.job)
 	stop()
@@ -166,17 +167,17 @@
 	if err != nil || again.Outcome() != reply.Outcome() {
 		t.Errorf("the answer changed: %s, then %s (%v)", reply.Outcome(), again.Outcome(), err)
 	}
-	c.settled()
+	c.awaitIdle()
 	c.checkOnce(r.job)
 }
 
-// checkFinal checks that an answer is whole, or a failure where one is allowed,
-// or a refusal that is true.
+// checkFinal checks that the outcome is final: complete, or, unless complete is
+// required, failed, or not-run if no task has started.
 func checkFinal(t *testing.T, c *cluster, job *api.Job, r *caller.Reply, complete bool) {
 	t.Helper()
 	switch {
 	case r.Outcome() == api.Complete:
-		checkWhole(t, job, r)
+		checkComplete(t, job, r)
 	case complete:
 		t.Errorf("not complete: %+v", r.Problem)
 	case r.Outcome() == api.NotRun:
@@ -186,8 +187,8 @@
 	}
 }
 
-// TestOnceAgentRestart kills an agent while its target runs tasks. The new
-// agent must not send tasks to slots that are still in use.
+// TestOnceAgentRestart kills an agent while its target runs tasks. The restarted agent
+// must not send tasks to slots that are still in use.
 func TestOnceAgentRestart(t *testing.T) {
 	c := newCluster(t, shape{entries: 1, agents: 1, slots: 4})
 	long := newJob(t, "reshuffle", 4, 1500)
@@ -200,16 +201,16 @@
 	c.agents[0].restart()
 	job := newJob(t, "reshuffle", 4, 50)
 	var reply *caller.Reply
-	waitFor(t, "the restarted agent is a home", func() bool {
+	waitFor(t, "the restarted agent accepts a job as its home", func() bool {
 		r, err := client.Submit(c.context(), c.id(client), job)
 		if err != nil {
 			return false
 		}
 		reply = r
-		// Until the entry box has noticed, its ids are those of the dead home.
+		// Until the entry box notices the restart, its ids name the dead incarnation.
 		return r.Problem == nil || r.Problem.Reason != "home-lost"
 	})
-	checkWhole(t, job, reply)
+	checkComplete(t, job, reply)
 	c.checkOnce(long)
 	c.checkOnce(job)
 }
--- a/test/openapi_test.go
+++ b/test/openapi_test.go
@@ -11,8 +11,8 @@
 	"github.com/getkin/kin-openapi/routers/gorillamux"
 )
 
-// TestOpenAPI holds docs/openapi.yaml against a running entry box: every
-// operation is called in its main ways, and each answer must fit the document.
+// TestOpenAPI calls every operation of docs/openapi.yaml at a running entry box and
+// validates the answers against the document.
 func TestOpenAPI(t *testing.T) {
 	doc, err := openapi3.NewLoader().LoadFromFile("../docs/openapi.yaml")
 	if err != nil {
@@ -65,7 +65,7 @@
 				t.Fatal(err)
 			}
 			called[tc.method+" "+route.Path] = true
-			res, err := quick.Do(req)
+			res, err := quickClient.Do(req)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -81,14 +81,14 @@
 			out := &openapi3filter.ResponseValidationInput{RequestValidationInput: in, Status: res.StatusCode, Header: res.Header}
 			out.SetBodyBytes(answer)
 			if err := openapi3filter.ValidateResponse(t.Context(), out); err != nil {
-				t.Errorf("the answer does not fit: %v", err)
+				t.Errorf("the answer does not match the document: %v", err)
 			}
 		})
 	}
 	for path, item := range doc.Paths.Map() {
 		for method := range item.Operations() {
 			if !called[method+" "+path] {
-				t.Errorf("%s %s is documented and was not called", method, path)
+				t.Errorf("%s %s is documented but was not called", method, path)
 			}
 		}
 	}
--- a/test/own_test.go
+++ b/test/own_test.go
@@ -13,8 +13,8 @@
 	"rackspur/caller"
 )
 
-// TestOwnAnswers has many callers of two members at once, with answers that are
-// held back and released late. Each must get the whole answer to its own job.
+// TestOwnAnswers runs many callers of two members concurrently, while answers are held
+// back and released late. Each caller must get the complete answer to its own job.
 func TestOwnAnswers(t *testing.T) {
 	c := newCluster(t, shape{entries: 2, agents: 3, slots: 8, proxies: true})
 	const callers = 24
@@ -33,7 +33,7 @@
 			submitAll(c, client, id, mine, wrong)
 		}()
 	}
-	// Answers are held back at every entry box and let go out of order.
+	// Hold back the answers of the entry boxes in turn, and delay the agents' answers.
 	for i := range 6 {
 		c.entries[i%2].proxy.set(faults{Hold: true})
 		c.awaitStarts(jobs[3*i], 1)
@@ -50,8 +50,8 @@
 	}
 }
 
-// submitAll sends jobs one after another, the first under the given id, each
-// other under the id that the last answer carried.
+// submitAll submits jobs one after another, the first under the given id, each other
+// under the next id in the previous answer.
 func submitAll(c *cluster, client *caller.Client, id string, jobs []*api.Job, wrong chan<- string) {
 	for _, job := range jobs {
 		reply, err := client.Submit(c.context(), id, job)
@@ -63,7 +63,7 @@
 			wrong <- fmt.Sprintf("%+v", reply.Problem)
 			return
 		}
-		if w := wholeness(job, reply.Answer); w != "" {
+		if w := answerProblem(job, reply.Answer); w != "" {
 			wrong <- w
 		}
 		if reply.Answer.ID != id {
@@ -73,9 +73,8 @@
 	}
 }
 
-// TestOwnMembersApart asks for another member's submission in every way. The
-// answer is that of an id that does not exist, and nothing of the one member
-// shows to the other.
+// TestOwnMembersApart requests another member's submission with every method. The answer
+// must be that for an id that does not exist, and must not name the other member.
 func TestOwnMembersApart(t *testing.T) {
 	c := newCluster(t, shape{entries: 1, agents: 2, slots: 4})
 	a, b := c.client(tokenA, 0), c.client(tokenB, 0)
@@ -105,7 +104,7 @@
 			t.Errorf("task %d started %d times", i, n)
 		}
 	}
-	// Payloads and secrets stay out of the logs, the status and the metrics.
+	// Logs, status and metrics must not contain payloads or secrets.
 	secrets := [][]byte{[]byte("secret-a"), []byte("secret-b"), []byte(t.Name())}
 	for _, p := range append(c.entries, c.agents...) {
 		seen := []byte(p.log.String())
@@ -114,7 +113,7 @@
 		}
 		for _, s := range secrets {
 			if bytes.Contains(seen, s) {
-				t.Errorf("%s shows %q", p.name, s)
+				t.Errorf("logs, status or metrics of %s contain %q", p.name, s)
 			}
 		}
 	}
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -14,7 +14,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		checkWhole(t, job, reply)
+		checkComplete(t, job, reply)
 		for i, n := range c.startsOf(job) {
 			if n != 1 {
 				t.Errorf("task %d started %d times", i, n)
@@ -50,6 +50,6 @@
 		})
 	}
 	if n := c.totalStarts(); n != len(job.Tasks) {
-		t.Errorf("%d starts, want only the %d of the good job", n, len(job.Tasks))
+		t.Errorf("%d starts, want only the %d of the valid job", n, len(job.Tasks))
 	}
 }
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -13,21 +13,21 @@
 	"rackspur/rowstore"
 )
 
-// TestPlatformPath serves kept and best-effort jobs with real processes over the
-// platform's own interfaces.
+// TestPlatformPath serves durable and best-effort jobs with real processes over the
+// platform's interfaces.
 func TestPlatformPath(t *testing.T) {
 	d := newDeployment(t, 2, 2)
-	kept := "00000000000000aa"
+	durable := "00000000000000aa"
 	waitFor(t, "a job is accepted", func() bool {
-		status, _ := d.entries[0].ask(http.MethodPost, kept, platformJob(6, false))
+		status, _ := d.entries[0].ask(http.MethodPost, durable, platformJob(6, false))
 		return status == http.StatusOK
 	})
-	if status, _ := d.entries[1].ask(http.MethodPost, kept, platformJob(6, false)); status != http.StatusOK {
+	if status, _ := d.entries[1].ask(http.MethodPost, durable, platformJob(6, false)); status != http.StatusOK {
 		t.Errorf("the same job at another entry: %d", status)
 	}
-	waitFor(t, "it is completed at both", func() bool {
-		_, a := d.entries[0].ask(http.MethodGet, kept, nil)
-		_, b := d.entries[1].ask(http.MethodGet, kept, nil)
+	waitFor(t, "the job is completed at both entries", func() bool {
+		_, a := d.entries[0].ask(http.MethodGet, durable, nil)
+		_, b := d.entries[1].ask(http.MethodGet, durable, nil)
 		return a == string(job.StateCompleted) && b == string(job.StateCompleted)
 	})
 	if status, state := d.entries[1].ask(http.MethodPost, "00000000000000bb", platformJob(4, true)); status != http.StatusOK || state != string(job.StateCompleted) {
@@ -49,8 +49,8 @@
 	})
 }
 
-// TestPlatformPolicies has an operator's program decide at an entry, and another
-// after SIGHUP; a file that can't be used changes nothing.
+// TestPlatformPolicies runs an entry with a policies file and reloads it on SIGHUP; an
+// invalid file must leave the policies unchanged.
 func TestPlatformPolicies(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "policies.yaml")
 	write := func(text string) {
@@ -74,15 +74,15 @@
 	waitFor(t, "jobs are refused", func() bool { return submit() == http.StatusServiceUnavailable })
 	write("base: no-such-set\n")
 	e.signal(syscall.SIGHUP)
-	waitFor(t, "the entry tells of policies that it can't use", func() bool { return strings.Contains(e.log.String(), "Policies not reloaded") })
+	waitFor(t, "the entry logs that the policies are invalid", func() bool { return strings.Contains(e.log.String(), "Policies not reloaded") })
 	if status := submit(); status != http.StatusServiceUnavailable {
-		t.Errorf("after a file that can't be used: %d", status)
+		t.Errorf("after an invalid policies file: %d", status)
 	}
 }
 
-// TestEntryStartsInOutage starts an entry while the store turns everybody away: it takes
-// no connections and says that it does not know the routes yet, not that there are none;
-// when the store is back it serves, though nothing tells it so.
+// TestEntryStartsInOutage starts an entry while the store refuses all calls: the entry
+// must not be ready, and must answer 503 instead of treating the routes as missing. Once
+// the store is back it must serve without being restarted.
 func TestEntryStartsInOutage(t *testing.T) {
 	d := newDeployment(t, 2, 2)
 	e := d.entries[0]
--- a/test/powerloss_test.go
+++ b/test/powerloss_test.go
@@ -11,16 +11,15 @@
 	"rackspur/job"
 )
 
-// powerLosses is how often all power is lost, powerJobs how many jobs are handed in at the
-// time.
+// powerLosses is the number of power losses, powerJobs the number of jobs submitted at
+// each.
 const (
 	powerLosses = 3
 	powerJobs   = 6
 )
 
-// All processes lose power, and all targets with them, in the moment in which a job is
-// answered as accepted; only the store is left. Every job that was accepted runs to its
-// end, each task done once at least, and none is unknown.
+// All processes and targets lose power as soon as a job is accepted; only the store
+// survives. Every accepted job must complete, with each task done at least once.
 func TestAcceptedJobsOutliveAllPower(t *testing.T) {
 	d := newDeployment(t, 3, 3)
 	accepted := map[string]bool{}
@@ -28,7 +27,7 @@
 		for id := range d.acceptUntilPowerLoss(loss) {
 			accepted[id] = true
 		}
-		for _, m := range append(append([]*machine(nil), d.entries...), d.agents...) {
+		for _, m := range append(append([]*box(nil), d.entries...), d.agents...) {
 			m.restart()
 		}
 		waitFor(t, "an entry is ready", func() bool {
@@ -42,7 +41,7 @@
 		waitFor(t, "job "+id+" is completed", func() bool {
 			status, state := d.entries[0].ask(http.MethodGet, id, nil)
 			if status == http.StatusGone {
-				t.Fatalf("job %s was accepted and is unknown", id)
+				t.Fatalf("job %s was accepted but is unknown", id)
 			}
 			return state == string(job.StateCompleted)
 		})
@@ -58,13 +57,13 @@
 	}
 	for id := range accepted {
 		if done[job.ID(id)] != 4 {
-			t.Errorf("job %s is completed with %d of 4 tasks done", id, done[job.ID(id)])
+			t.Errorf("job %s is completed but only %d of 4 tasks are done", id, done[job.ID(id)])
 		}
 	}
 }
 
-// acceptUntilPowerLoss hands jobs in, has all power lost as the first is accepted, and
-// returns those that were answered as accepted.
+// acceptUntilPowerLoss submits jobs, kills everything as soon as the first is accepted,
+// and returns the accepted ones.
 func (d *deployment) acceptUntilPowerLoss(loss int) map[string]bool {
 	d.t.Helper()
 	var mu sync.Mutex
@@ -84,7 +83,7 @@
 					first <- struct{}{}
 					return
 				case 0:
-					return // Power is lost.
+					return // The entry is down.
 				}
 				pause(20 * time.Millisecond)
 			}
@@ -92,11 +91,11 @@
 	}
 	select {
 	case <-first:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		d.t.Error("no job was accepted")
 	}
 	var kills sync.WaitGroup
-	for _, m := range append(append([]*machine(nil), d.entries...), d.agents...) {
+	for _, m := range append(append([]*box(nil), d.entries...), d.agents...) {
 		kills.Go(m.kill)
 	}
 	for _, m := range d.agents {
--- a/test/process_test.go
+++ b/test/process_test.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	// patience is how long a test waits for a condition before it fails.
-	patience = 30 * time.Second
-	// lookPause is the time between two looks at a condition.
-	lookPause = 5 * time.Millisecond
+	// waitTimeout is how long a test waits for a condition before it fails.
+	waitTimeout = 30 * time.Second
+	// pollInterval is the time between two checks of a condition.
+	pollInterval = 5 * time.Millisecond
 )
 
-// waitFor waits until a condition holds and fails the test if it never does.
+// waitFor waits until a condition holds and fails the test after waitTimeout.
 func waitFor(t testing.TB, what string, cond func() bool) {
 	t.Helper()
-	if !holdsWithin(patience, cond) {
-		t.Fatalf("never came about: %s", what)
+	if !holdsWithin(waitTimeout, cond) {
+		t.Fatalf("timed out waiting until %s", what)
 	}
 }
 
 func holdsWithin(limit time.Duration, cond func() bool) bool {
 	late := time.After(limit)
-	tick := time.NewTicker(lookPause)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for !cond() {
 		select {
@@ -44,8 +44,8 @@
 	return true
 }
 
-// Ports are taken from below the range that the system gives to outgoing
-// connections, so that none is taken away between two uses.
+// Ports are below the ephemeral range, so that no outgoing connection takes one between
+// its choice and its use.
 const (
 	firstPort = 10_000
 	portCount = 5_900
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// logBuffer keeps what a process writes.
+// logBuffer collects the output of a process.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -100,22 +100,22 @@
 	t    testing.TB
 	name string
 	args []string
-	// env are variables beside those of this process.
+	// env holds environment variables in addition to the inherited ones.
 	env  []string
 	cmd  *exec.Cmd
 	log  *logBuffer
 	done chan struct{}
-	// logged is how much earlier runs of the process have written.
+	// logged is the length of log before the last start.
 	logged int
 }
 
-// start runs the program with arguments until the test ends.
+// start runs the program with the arguments until the test ends.
 func start(t testing.TB, name string, args ...string) *process {
 	t.Helper()
 	return startWith(t, name, nil, args...)
 }
 
-// startWith is start with variables of its own.
+// startWith is start with additional environment variables.
 func startWith(t testing.TB, name string, env []string, args ...string) *process {
 	t.Helper()
 	p := &process{t: t, name: name, args: args, env: env, log: &logBuffer{}}
@@ -159,19 +159,19 @@
 	_ = p.cmd.Process.Signal(s)
 }
 
-// kill ends the process at once and waits for its end.
+// kill sends SIGKILL and waits until the process has ended.
 func (p *process) kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.done
 }
 
-// stop asks for a planned stop and waits for its end.
+// stop sends SIGTERM and waits until the process has ended.
 func (p *process) stop() {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		p.t.Fatalf("%s did not stop", p.name)
 	}
 }
@@ -187,9 +187,9 @@
 	p.run()
 }
 
-// answers reports whether a URL answers with 200.
+// answers reports whether a GET of the URL returns 200.
 func answers(url string) bool {
-	res, err := quick.Get(url)
+	res, err := quickClient.Get(url)
 	if err != nil {
 		return false
 	}
@@ -197,5 +197,5 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// quick is a client for calls that are answered at once.
-var quick = &http.Client{Timeout: 2 * time.Second}
+// quickClient is a client for calls that are answered at once.
+var quickClient = &http.Client{Timeout: 2 * time.Second}
--- a/test/proxy_test.go
+++ b/test/proxy_test.go
@@ -17,31 +17,31 @@
 	faults faults
 	held   chan struct{}
 	conns  map[net.Conn]struct{}
-	// served counts the connections; those up to muted carry nothing any more.
+	// served counts the connections; those numbered up to muted drop all bytes.
 	served, muted int
 }
 
-// faults says what the proxy does. The zero value passes everything.
+// faults are the faults that a proxy injects. The zero value passes everything.
 type faults struct {
 	// Delay is added in each direction.
 	Delay time.Duration
-	// CutUp and CutDown swallow the bytes towards and from the server.
+	// CutUp and CutDown drop the bytes towards and from the server.
 	CutUp, CutDown bool
 	// ResetAfterUp resets a connection after that many bytes towards the
 	// server have been passed on; 0 means never.
 	ResetAfterUp int
 	// ResetOnDown resets a connection instead of passing the server's first bytes.
 	ResetOnDown bool
-	// Hold keeps the bytes from the server back until release.
+	// Hold holds back the bytes from the server until release is called.
 	Hold bool
-	// Duplicate sends the bytes of each connection a second time, on a
-	// connection of their own whose answers nobody reads.
+	// Duplicate also sends the bytes towards the server on a second connection, whose
+	// answers are discarded.
 	Duplicate bool
 	// Refuse closes every new connection.
 	Refuse bool
 }
 
-// newProxy serves an address until the test ends.
+// newProxy starts a proxy that listens on an address until the test ends.
 func newProxy(t testing.TB, address, to string) *proxy {
 	t.Helper()
 	l, err := net.Listen("tcp", address)
@@ -77,7 +77,7 @@
 	return p.faults
 }
 
-// release lets go what Hold kept back and ends all faults.
+// release passes on what Hold held back and ends all faults.
 func (p *proxy) release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,15 +86,14 @@
 	p.held = make(chan struct{})
 }
 
-// muteAll makes the connections that are open carry nothing from now on: no side
-// hears of it. New ones work.
+// muteAll makes the open connections drop all bytes without closing them. New ones work.
 func (p *proxy) muteAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.muted = p.served
 }
 
-// number returns the number of a new connection.
+// number returns the next connection's number.
 func (p *proxy) number() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,7 +107,7 @@
 	return number <= p.muted
 }
 
-// breakAll ends all connections.
+// breakAll resets all connections.
 func (p *proxy) breakAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -149,18 +148,18 @@
 	p.track(server, true)
 	defer p.track(client, false)
 	defer p.track(server, false)
-	var twin net.Conn
+	var duplicate net.Conn
 	if p.get().Duplicate {
-		if twin, err = net.Dial("tcp", p.to); err == nil {
-			defer twin.Close()
-			go func() { _, _ = io.Copy(io.Discard, twin) }()
+		if duplicate, err = net.Dial("tcp", p.to); err == nil {
+			defer duplicate.Close()
+			go func() { _, _ = io.Copy(io.Discard, duplicate) }()
 		}
 	}
 	var wg sync.WaitGroup
 	wg.Add(2)
 	go func() {
 		defer wg.Done()
-		p.up(client, server, twin, number)
+		p.up(client, server, duplicate, number)
 	}()
 	go func() {
 		defer wg.Done()
@@ -169,24 +168,25 @@
 	wg.Wait()
 }
 
-const chunk = 32 << 10
+const readSize = 32 << 10
 
-// piece is what was read at once, with the time at which it is due.
-type piece struct {
+// segment is the result of a read, with the time at which to pass it on.
+type segment struct {
 	data []byte
 	due  time.Time
 	err  error
 }
 
-// pieces reads a connection to its end; a delay does not hold back what follows.
-func (p *proxy) pieces(c net.Conn) <-chan piece {
-	out := make(chan piece, 1024)
+// segments reads a connection to its end. A delay applies to each segment on its own and
+// does not slow down reading.
+func (p *proxy) segments(c net.Conn) <-chan segment {
+	out := make(chan segment, 1024)
 	go func() {
 		defer close(out)
 		for {
-			b := make([]byte, chunk)
+			b := make([]byte, readSize)
 			n, err := c.Read(b)
-			out <- piece{data: b[:n], due: time.Now().Add(p.get().Delay), err: err}
+			out <- segment{data: b[:n], due: time.Now().Add(p.get().Delay), err: err}
 			if err != nil {
 				return
 			}
@@ -195,7 +195,7 @@
 	return out
 }
 
-func (x *piece) await() {
+func (x *segment) await() {
 	if wait := time.Until(x.due); wait > 0 {
 		<-time.After(wait)
 	}
@@ -205,7 +205,7 @@
 func (p *proxy) up(client, server, twin net.Conn, number int) {
 	defer closeWrite(server)
 	passed := 0
-	for x := range p.pieces(client) {
+	for x := range p.segments(client) {
 		x.await()
 		if p.mute(number) {
 			continue
@@ -230,7 +230,7 @@
 // down carries the bytes from the server.
 func (p *proxy) down(client, server net.Conn, number int) {
 	defer client.Close()
-	for x := range p.pieces(server) {
+	for x := range p.segments(server) {
 		x.await()
 		if p.mute(number) {
 			continue
--- a/test/random_test.go
+++ b/test/random_test.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// envLong is the number of steps of the random run; CI does a short one.
+	// envLong is the number of steps; the default is shortSteps.
 	envLong    = "RACKSPUR_LONG"
 	shortSteps = 12
 	randomSeed = 6804
 )
 
-// TestRandom sends single-task requests that may not be repeated while faults
-// come and go at random moments under a fixed seed. Every id is sent several
-// times; the history of each is checked against a register that is written once.
+// TestRandom sends single-task jobs of a kind that is not repeatable while faults are
+// injected under a fixed seed. Every id is sent several times, and its history must be
+// linearizable as a write-once register.
 func TestRandom(t *testing.T) {
 	steps := shortSteps
 	if v, err := strconv.Atoi(os.Getenv(envLong)); err == nil {
@@ -52,13 +52,13 @@
 	}
 	close(done)
 	wg.Wait()
-	c.settled()
+	c.awaitIdle()
 	c.checkNoDoubles()
 	h.check(t, c)
 	t.Logf("%d steps, %d submissions, outcomes %v", steps, len(h.jobs), h.outcomes)
 }
 
-// randomFault brings about one fault, waits until some work went on, and ends it.
+// randomFault injects a fault, waits until some tasks have started, and removes it.
 func randomFault(c *cluster, rng *rand.Rand) {
 	a := c.agents[rng.IntN(len(c.agents))]
 	e := c.entries[rng.IntN(len(c.entries))]
@@ -96,7 +96,7 @@
 	}
 }
 
-// history records what each caller was told of each id.
+// history records the outcomes that callers were told for each id.
 type history struct {
 	begun time.Time
 
@@ -106,8 +106,7 @@
 	outcomes map[api.Outcome]int
 }
 
-// resubmit sends one request under one id from two callers at the same time and
-// then once more.
+// resubmit sends a job under one id from two callers concurrently, then once more.
 func (h *history) resubmit(c *cluster, caller int) {
 	client := c.client(tokenA, caller)
 	ids, _, err := client.IDs(c.context(), 1)
@@ -145,7 +144,7 @@
 		outcome = lost
 	}
 	if err == nil && reply.Answer != nil {
-		if wrong := wholeness(job, reply.Answer); wrong != "" {
+		if wrong := answerProblem(job, reply.Answer); wrong != "" {
 			outcome = api.Outcome(wrong)
 		}
 	}
@@ -155,11 +154,11 @@
 	h.ops = append(h.ops, porcupine.Operation{ClientId: 3*caller + turn, Input: id, Call: call, Output: outcome, Return: back})
 }
 
-// lost is the outcome told for a home that died with all it knew.
+// lost is the outcome of an id whose home died with its state.
 const lost api.Outcome = "lost"
 
-// onceModel is the outcome of an id: undecided, then one final outcome, until the
-// home dies: from then on the outcome is lost for ever. "unknown" says nothing.
+// onceModel is the outcome of an id: undecided, then one final outcome, then lost
+// forever if the home dies. An unknown outcome constrains nothing.
 var onceModel = porcupine.Model{
 	Partition: func(ops []porcupine.Operation) [][]porcupine.Operation {
 		byID := map[string][]porcupine.Operation{}
@@ -189,7 +188,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// check checks the history, and that what did not run did not start.
+// check checks the history, and the number of starts of each job against its outcomes.
 func (h *history) check(t *testing.T, c *cluster) {
 	t.Helper()
 	if !porcupine.CheckOperations(onceModel, h.ops) {
@@ -202,10 +201,10 @@
 	for _, op := range h.ops {
 		n := starts[digestOf(h.jobs[op.Input.(string)])]
 		if op.Output == api.NotRun && n > 0 {
-			t.Errorf("%v was not run and started %d times", op.Input, n)
+			t.Errorf("%v is not-run but started %d times", op.Input, n)
 		}
 		if op.Output == api.Complete && n != 1 {
-			t.Errorf("%v is complete and started %d times", op.Input, n)
+			t.Errorf("%v is complete but started %d times", op.Input, n)
 		}
 	}
 }
--- a/test/rounds_test.go
+++ b/test/rounds_test.go
@@ -13,34 +13,34 @@
 	"rackspur/policy"
 )
 
-// BenchmarkRounds runs policies side by side under load, with the latencies of
-// the brief, and prints a row of docs/MEASUREMENT.md for each run:
+// BenchmarkRounds runs each policy under load, with the latencies of the users'
+// network, and prints a row of docs/MEASUREMENT.md for each run:
 //
 //	go test ./test -run xxx -bench Rounds -benchtime 1x -timeout 2h
 //
-// The environment chooses what is run, each a list separated by commas.
+// The environment selects the runs; each variable is a comma-separated list.
 const (
-	// envScenarios holds shipped scenarios, envPolicies sets or "built-in".
+	// envScenarios names shipped scenarios, envPolicies policy sets or "built-in".
 	envScenarios = "RACKSPUR_ROUNDS_SCENARIOS"
 	envPolicies  = "RACKSPUR_ROUNDS_POLICIES"
 	envLoads     = "RACKSPUR_ROUNDS_LOADS"
 	envFaults    = "RACKSPUR_ROUNDS_FAULTS"
 	envBursts    = "RACKSPUR_ROUNDS_BURSTS"
 	envDuration  = "RACKSPUR_ROUNDS_DURATION"
-	// envBinary is another build of the program, an earlier version.
+	// envBinary is the path of another build of the program, such as an earlier version.
 	envBinary = "RACKSPUR_ROUNDS_BINARY"
 )
 
-// The size of today: 11 executors of 8 slots.
+// Size and latencies of the cluster.
 const (
 	roundAgents = 11
 	roundSlots  = 8
-	// betweenDomains and toClients are one-way latencies of the brief.
+	// betweenDomains and toClients are one-way latencies.
 	betweenDomains = time.Millisecond
 	toClients      = 3 * time.Millisecond
 )
 
-func list(name, def string) []string {
+func envList(name, def string) []string {
 	if v := os.Getenv(name); v != "" {
 		return strings.Split(v, ",")
 	}
@@ -50,13 +50,13 @@
 func BenchmarkRounds(b *testing.B) {
 	all := "built-in," + strings.Join(policy.Names(), ",")
 	fmt.Println("| scenario | policy | load | fault | ratio mean | p50 | p99 | p99.9 | central mean | central p99 | done % | offered % | refused % | failed | refused ms p99 | messages/task | wasted % | wrong |")
-	for _, scenario := range list(envScenarios, "ghanta,acquirer") {
-		for _, percent := range list(envLoads, "50,80,95,120") {
-			for _, fault := range list(envFaults, "none") {
-				for _, p := range list(envPolicies, all) {
+	for _, scenario := range envList(envScenarios, "ghanta,acquirer") {
+		for _, percent := range envList(envLoads, "50,80,95,120") {
+			for _, fault := range envList(envFaults, "none") {
+				for _, p := range envList(envPolicies, all) {
 					b.Run(strings.Join([]string{scenario, p, percent, fault}, "/"), func(b *testing.B) {
 						for b.Loop() {
-							round(b, scenario, p, percent, fault)
+							runRound(b, scenario, p, percent, fault)
 						}
 					})
 				}
@@ -65,7 +65,7 @@
 	}
 }
 
-// roundFaults are brought about in the middle of a run.
+// roundFaults are injected after a third of a run.
 var roundFaults = map[string]func(c *cluster){
 	"none":   func(*cluster) {},
 	"killed": func(c *cluster) { c.agents[3].kill() },
@@ -80,7 +80,7 @@
 	"store": func(c *cluster) { c.platformFaults(standin.PlatformFaults{Down: true}) },
 }
 
-func round(b *testing.B, scenario, policyName, percent, fault string) {
+func runRound(b *testing.B, scenario, policyName, percent, fault string) {
 	if other := os.Getenv(envBinary); other != "" {
 		defer func(own string) { binary = own }(binary)
 		binary = other
@@ -93,7 +93,7 @@
 	for _, e := range c.entries {
 		e.proxy.set(faults{Delay: toClients})
 	}
-	duration := list(envDuration, "8s")[0]
+	duration := envList(envDuration, "8s")[0]
 	if fault != "none" {
 		whole, err := time.ParseDuration(duration)
 		if err != nil {
@@ -103,7 +103,7 @@
 		defer timer.Stop()
 	}
 	before := c.messages()
-	r := command(b, "", "load", scenario, "--load", percent, "--bursts", list(envBursts, "off")[0], "--duration", duration, "--output", "json",
+	r := command(b, "", "load", scenario, "--load", percent, "--bursts", envList(envBursts, "off")[0], "--duration", duration, "--output", "json",
 		"--entry", c.entries[0].url+","+c.entries[1].url, "--tokens", tokenA+","+tokenB)
 	if r.code != 0 {
 		b.Fatal(r.errOut)
@@ -143,7 +143,7 @@
 // counts are totals over the processes of a cluster.
 type counts struct {
 	messages, wasted, started float64
-	// detail holds the counters of messages and waste by name.
+	// detail holds the messages.* and slots.* metrics by name.
 	detail map[string]float64
 }
 
--- a/test/soak_evacuate_test.go
+++ b/test/soak_evacuate_test.go
@@ -11,12 +11,11 @@
 	"rackspur/rowstore"
 )
 
-// evacuateSoakSeeds are played by TestSoakEvacuations in each run. Each takes about 15 s.
+// evacuateSoakSeeds are the seeds of TestSoakEvacuations. Each takes about 15 s.
 var evacuateSoakSeeds = []uint64{
 	1, // no failure known
-	// The executor link of the one agent of a domain is silent for 0.85 s before the domain
-	// is evacuated: the gate took its target for slow from then on, and owners with room
-	// elsewhere never tried it again.
+	// A target whose link was silent before its domain was evacuated stayed rated as slow,
+	// and got no more work after the evacuation was revoked.
 	62423445606,
 }
 
@@ -24,28 +23,28 @@
 const (
 	// evacuateSeconds is the usual length of a round.
 	evacuateSeconds = 4
-	// evacuateBound is the time from the acknowledgement of an evacuation to the last
-	// start there (evacuateMs of the users' settings).
+	// evacuateBound is the longest time from the acknowledgement of an evacuation to the
+	// last start there (evacuateMs in the settings).
 	evacuateBound = 5 * time.Second
-	// evacuateContact is how long after trouble rules bind again (their contactMs).
-	evacuateContact = 4 * time.Second
-	// longestFault is when the last fault of a round is over: 2.1 s, and the start of a
-	// process.
+	// evacuateRecovery is how long after a fault the bound applies again (contactMs in the
+	// settings).
+	evacuateRecovery = 4 * time.Second
+	// longestFault is the longest duration of a fault: 2.1 s and the start of a process.
 	longestFault = 3 * time.Second
-	// evacuateWatch is how long starts are watched for once the bound holds.
+	// evacuateWatch is how long starts are watched for once the bound applies.
 	evacuateWatch = 1500 * time.Millisecond
-	// evacuateLeast and evacuateSpread are the shortest time between two words of the
-	// operator, in milliseconds, and by how much it varies.
-	evacuateLeast  = 100
-	evacuateSpread = 1200
-	// evacuateDomains is how many failure domains the machines are spread over.
+	// evacuateMinMS is the shortest time between two of the operator's changes,
+	// evacuateSpreadMS the range above it.
+	evacuateMinMS    = 100
+	evacuateSpreadMS = 1200
+	// evacuateDomains is the number of failure domains.
 	evacuateDomains = 3
 )
 
 // evacuationsPlan is the plan of TestSoakEvacuations.
 var evacuationsPlan = soakPlan{
 	resend: soakResend, jobPause: soakJobPause, faultOdds: 20, domains: evacuateDomains,
-	beside: func(r *soakRun, end time.Time, callers *sync.WaitGroup) {
+	background: func(r *soakRun, end time.Time, callers *sync.WaitGroup) {
 		callers.Add(1)
 		go func() {
 			defer callers.Done()
@@ -54,25 +53,25 @@
 	},
 }
 
-// TestSoakEvacuations is the soak whose operator evacuates failure domains and takes that
-// back, in any order, while faults strike. One domain stays evacuated at the end of a
-// round: once the bound holds nothing may start there, while jobs come; after it is taken
-// back something must.
+// TestSoakEvacuations is the soak in which failure domains are evacuated and the
+// evacuations revoked, in random order and during faults. At the end of a round one domain
+// stays evacuated: once the bound applies nothing may start there, but jobs must be served
+// elsewhere; after the evacuation is revoked something must start there again.
 func TestSoakEvacuations(t *testing.T) {
-	length := time.Duration(soakNumber(soakSecondsVariable, evacuateSeconds)) * time.Second
-	rounds := int(soakNumber(soakRoundsVariable, 1))
-	for _, seed := range soakSeedsOr(evacuateSoakSeeds) {
+	length := time.Duration(envUint(soakSecondsVariable, evacuateSeconds)) * time.Second
+	rounds := int(envUint(soakRoundsVariable, 1))
+	for _, seed := range chooseSeeds(evacuateSoakSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { soak(t, evacuationsPlan, seed, length, rounds) })
 	}
 }
 
-// evacuations gives evacuations and takes them back until a time, then checks the one
-// that stays.
+// evacuations evacuates domains and revokes that at random until a time, then checks the
+// one domain that stays evacuated.
 func (r *soakRun) evacuations(end time.Time) {
-	random := r.part(evacuationsPart)
+	random := r.randomFor(evacuationsPart)
 	evacuated := map[string]bool{}
 	for time.Now().Before(end) {
-		pause(milliseconds(evacuateLeast + random.IntN(evacuateSpread)))
+		pause(milliseconds(evacuateMinMS + random.IntN(evacuateSpreadMS)))
 		domain := domainName(random.IntN(evacuateDomains))
 		evacuated[domain] = !evacuated[domain]
 		r.evacuate(domain, evacuated[domain])
@@ -90,60 +89,59 @@
 	acknowledged := r.evacuate(last, true)
 	r.checkEvacuated(last, acknowledged, end)
 	r.evacuate(last, false)
-	r.checkTakenBack(last)
+	r.checkRevoked(last)
 }
 
-// domainName is the name of a failure domain by its number.
+// domainName returns the name of failure domain i.
 func domainName(i int) string { return fmt.Sprintf("zone-%c", 'a'+i) }
 
-// evacuate writes an evacuation, or takes it back, and returns when that was
-// acknowledged.
+// evacuate writes or revokes an evacuation and returns when that was acknowledged.
 func (r *soakRun) evacuate(domain string, out bool) time.Time {
 	key := rowstore.Key{Table: "op", Name: "evacuate/" + domain}
 	t := rowstore.Transaction{Deletes: []rowstore.Key{key}}
 	if out {
 		t = rowstore.Transaction{Puts: []rowstore.Put{{Key: key, Value: []byte(`{}`)}}}
 	}
-	written := holdsWithin(patience, func() bool {
+	written := holdsWithin(waitTimeout, func() bool {
 		_, err := r.store.Transact(context.Background(), t)
 		return err == nil
 	})
 	if !written {
-		r.t.Errorf("evacuation of %s (%v) was never written", domain, out)
+		r.t.Errorf("evacuation of %s (%v) could not be written", domain, out)
 	}
 	r.note("%s evacuated: %v", domain, out)
 	return time.Now()
 }
 
-// checkEvacuated has jobs come and checks that nothing starts in a domain from the time
-// on that the rule binds all machines.
+// checkEvacuated sends jobs and checks that nothing starts in a domain once the bound
+// applies.
 func (r *soakRun) checkEvacuated(domain string, acknowledged, end time.Time) {
 	from := acknowledged.Add(evacuateBound)
-	if calm := end.Add(longestFault + evacuateContact); calm.After(from) {
-		from = calm
+	if faultsEnded := end.Add(longestFault + evacuateRecovery); faultsEnded.After(from) {
+		from = faultsEnded
 	}
 	pause(time.Until(from))
 	served := r.sendUntil(func() bool { return time.Since(from) > evacuateWatch })
 	if n := r.startsIn(domain, from); n > 0 {
-		r.t.Errorf("%d starts in %s, from %v after its evacuation on", n, domain, from.Sub(acknowledged))
+		r.t.Errorf("%d starts in %s later than %v after its evacuation", n, domain, from.Sub(acknowledged))
 	}
 	if !served {
-		r.t.Errorf("nothing is served while %s is evacuated", domain)
+		r.t.Errorf("no job is served while %s is evacuated", domain)
 	}
 }
 
-// checkTakenBack has jobs come until something starts in a domain.
-func (r *soakRun) checkTakenBack(domain string) {
+// checkRevoked sends jobs until something starts in a domain.
+func (r *soakRun) checkRevoked(domain string) {
 	from := time.Now()
-	limit := from.Add(patience)
+	limit := from.Add(waitTimeout)
 	r.sendUntil(func() bool { return r.startsIn(domain, from) > 0 || time.Now().After(limit) })
 	if r.startsIn(domain, from) == 0 {
-		r.t.Errorf("nothing starts in %s after its evacuation was taken back", domain)
+		r.t.Errorf("nothing starts in %s after its evacuation was revoked", domain)
 	}
 }
 
-// sendUntil hands in jobs that are not kept until something holds, and says whether any
-// was served.
+// sendUntil submits best-effort jobs until a condition holds and reports whether any was
+// served.
 func (r *soakRun) sendUntil(holds func() bool) (served bool) {
 	var callers sync.WaitGroup
 	var mu sync.Mutex
--- a/test/soak_fault_test.go
+++ b/test/soak_fault_test.go
@@ -9,28 +9,28 @@
 	"rackspur/rowstore"
 )
 
-// fault does one thing to the deployment; it may overlap with others.
-func (r *soakRun) fault() {
-	machines := append(append([]*machine(nil), r.entries...), r.agents...)
-	m := machines[r.random.IntN(len(machines))]
+// injectFault starts a random fault, which may overlap with others.
+func (r *soakRun) injectFault() {
+	boxes := append(append([]*box(nil), r.entries...), r.agents...)
+	m := boxes[r.random.IntN(len(boxes))]
 	agent := r.agents[r.random.IntN(len(r.agents))]
 	lasts := time.Duration(100+r.random.IntN(2000)) * time.Millisecond
 	kind, variant := r.random.IntN(9), r.random.IntN(6)
 	r.faults.Add(1)
 	go func() {
 		defer r.faults.Done()
-		r.strike(kind, variant, m, agent, lasts)
+		r.applyFault(kind, variant, m, agent, lasts)
 	}()
 }
 
-func (r *soakRun) strike(kind, variant int, m, agent *machine, lasts time.Duration) {
+func (r *soakRun) applyFault(kind, variant int, m, agent *box, lasts time.Duration) {
 	switch kind {
 	case 0:
 		r.note("kill %s, down for %v", m.name, lasts/4)
-		m.down(func() { m.kill() }, lasts/4)
+		m.restartAfterDelay(func() { m.kill() }, lasts/4)
 	case 1:
 		r.note("stop %s, down for %v", m.name, lasts/4)
-		m.down(func() {
+		m.restartAfterDelay(func() {
 			m.signal(syscall.SIGTERM)
 			<-m.done
 		}, lasts/4)
@@ -42,7 +42,7 @@
 		pause(lasts)
 		m.thaw()
 	case 3:
-		r.note("hang up %s", m.name)
+		r.note("SIGHUP to %s", m.name)
 		m.busy.Lock()
 		defer m.busy.Unlock()
 		m.awaitRunning()
@@ -50,7 +50,7 @@
 	case 4:
 		r.storeFault(variant, lasts)
 	case 5:
-		r.note("crash of the executor of %s", agent.name)
+		r.note("crash of the target of %s", agent.name)
 		r.newLife(agent)
 	case 6:
 		r.note("version %d of the configuration", r.newVersion())
@@ -59,17 +59,17 @@
 	}
 }
 
-// awaitRunning waits until the process's program has begun: before that no program
-// can do anything about a signal.
-func (m *machine) awaitRunning() {
+// awaitRunning waits until the process has logged its start: before that its signal
+// handlers may not be installed.
+func (m *box) awaitRunning() {
 	began := func() bool { return strings.Contains(m.log.String()[m.logged:], " starts.") }
-	if !holdsWithin(patience, began) {
-		m.t.Errorf("%s never began", m.name)
+	if !holdsWithin(waitTimeout, began) {
+		m.t.Errorf("%s did not log its start", m.name)
 	}
 }
 
-// down ends a process and starts it again after a time.
-func (m *machine) down(end func(), lasts time.Duration) {
+// restartAfterDelay ends a process and restarts it after a time.
+func (m *box) restartAfterDelay(end func(), lasts time.Duration) {
 	m.busy.Lock()
 	defer m.busy.Unlock()
 	end()
@@ -77,11 +77,11 @@
 	m.restart()
 }
 
-// storeFault makes the store misbehave for a time.
+// storeFault makes the store fail for a time, or lose its history of changes.
 func (r *soakRun) storeFault(variant int, lasts time.Duration) {
 	faults := [...]rowstore.Fault{rowstore.FaultRefuse, rowstore.FaultLoseAnswer, rowstore.FaultLoseCall}
 	if variant >= len(faults) {
-		r.note("the store forgets its history")
+		r.note("the store loses its history")
 		r.store.Forget()
 		return
 	}
@@ -97,14 +97,14 @@
 	r.store.SetFault(nil)
 }
 
-// linkFault harms the connections of a machine for a time.
-func (r *soakRun) linkFault(variant int, m *machine, lasts time.Duration) {
-	links := map[string]*proxy{"store": m.store, "inward": m.inward, "executor": m.app}
+// linkFault disturbs one kind of connection of a box for a time.
+func (r *soakRun) linkFault(variant int, m *box, lasts time.Duration) {
+	links := map[string]*proxy{"store": m.storeProxy, "inward": m.inbound, "executor": m.targetProxy}
 	names := []string{"store", "inward", "executor"}
 	name := names[int(lasts)%len(names)]
 	p := links[name]
 	if p == nil {
-		name, p = "store", m.store
+		name, p = "store", m.storeProxy
 	}
 	if variant == 5 {
 		r.note("%s connections of %s are silent", name, m.name)
@@ -120,7 +120,7 @@
 	pause(lasts)
 	p.set(faults{})
 	if variant == 1 || variant == 2 {
-		// Bytes that were swallowed are lost: the connections can't go on.
+		// Bytes were dropped, so the open connections are unusable.
 		p.breakAll()
 	}
 }
--- a/test/soak_long_test.go
+++ b/test/soak_long_test.go
@@ -12,35 +12,33 @@
 	"rackspur/job"
 )
 
-// longSoakSeeds are played by TestSoakLongTasks in each run. Each takes about 15 s.
+// longSoakSeeds are the seeds of TestSoakLongTasks. Each takes about 15 s.
 //
-// Others that have shown two runs of a task at one time, to be played by hand: 423 (as
-// 407, for several jobs, and as 435), 435 (an agent is killed 0.4 s after an entry and its
-// new process renews the lease of runs whose owner is gone), 429 (the same, with an entry
-// that stops after it has claimed the run; seldom the same pair twice).
+// Further seeds that have shown overlapping runs, to be run by hand: 423, 435 and 429. In
+// these a restarted agent renewed the leases of runs whose owner was gone.
 var longSoakSeeds = []uint64{
-	// An entry is frozen and loses its callers; an agent is killed 0.5 s later, before
-	// it has stopped the entry's runs: they go on for the lease that it gave last.
+	// An entry is frozen, and an agent is killed before it has stopped the entry's runs:
+	// these overlapped the retries until their last lease expired.
 	407,
 }
 
 // Times and sizes of jobs with long tasks.
 const (
-	// longResend is how long after a lost answer the users' callers hand a job in
-	// again (the platform's retransmitMs).
+	// longResend is how long after a lost answer a caller submits a job again (the
+	// platform's retransmitMs).
 	longResend = 1300 * time.Millisecond
 	// longDeadline is how long a caller waits for the end of a job with long tasks.
 	longDeadline = 15 * time.Second
-	// leastLong and mostLong bound a long task's time: beyond all bounds of contact
-	// and lease.
-	leastLong = 2 * time.Second
-	mostLong  = 8 * time.Second
-	// longPause and longTasks leave a third of the executors' room to short tasks:
-	// 1.5 tasks of 5 s each 300 ms are 25 of 40 at one time.
+	// minLong and mostLong bound a long task's duration, which exceeds the bounds of
+	// contact and lease.
+	minLong = 2 * time.Second
+	maxLong = 8 * time.Second
+	// longPause and longTasks leave a third of the targets' capacity to short tasks:
+	// 1.5 tasks of 5 s every 300 ms occupy 25 of 40 slots.
 	longPause = 300 * time.Millisecond
 	longTasks = 2
-	// longBurst is how many jobs with long tasks come at once at first, so that the
-	// first series meets runs of each entry at each agent: 12 runs, 12 pairs.
+	// longBurst is how many jobs with long tasks are sent at once at first, so that the
+	// first series of faults finds runs of every entry at every agent.
 	longBurst = 8
 	// longCallers is how many jobs with long tasks may wait for an answer.
 	longCallers = 20
@@ -48,12 +46,12 @@
 	longSeconds = 5
 	// longJobPause is the time between two jobs with short tasks beside long ones.
 	longJobPause = 40 * time.Millisecond
-	// longFaultOdds: one in so many of them brings a random fault, so that most long
-	// tasks are struck by a series only.
+	// longFaultOdds: one in longFaultOdds of them is accompanied by a random fault, so
+	// that most long tasks meet series of faults only.
 	longFaultOdds = 60
 )
 
-// Parts of a seed: each sequence of random numbers has its own.
+// Streams of random numbers that are derived from a seed.
 const (
 	longJobsPart = iota + 1
 	longSeriesPart
@@ -63,21 +61,21 @@
 	boundsPart
 )
 
-// longMark begins the id of a job with long tasks; the milliseconds that each of its
-// tasks takes follow in as many hexadecimal digits.
+// longPrefix starts the id of a job with long tasks; longDigits hexadecimal digits with
+// the duration of its tasks in milliseconds follow.
 const (
-	longMark   = "f"
+	longPrefix = "f"
 	longDigits = 7
 )
 
-// longID is the id of a job whose tasks take a time.
+// longID returns the id of a job whose tasks take a time.
 func longID(number int, lasts time.Duration) string {
-	return fmt.Sprintf("%s%0*x%08x", longMark, longDigits, lasts.Milliseconds(), number)
+	return fmt.Sprintf("%s%0*x%08x", longPrefix, longDigits, lasts.Milliseconds(), number)
 }
 
-// longWork reads the time of a job's tasks from its id.
+// longWork reads the duration of a job's tasks from its id.
 func longWork(id job.ID) (lasts time.Duration, ok bool) {
-	if len(id) <= longDigits || string(id[:1]) != longMark {
+	if len(id) <= longDigits || string(id[:1]) != longPrefix {
 		return 0, false
 	}
 	ms, err := strconv.ParseInt(string(id[1:1+longDigits]), 16, 64)
@@ -90,7 +88,7 @@
 // longTasksPlan is the plan of TestSoakLongTasks.
 var longTasksPlan = soakPlan{
 	resend: longResend, jobPause: longJobPause, faultOdds: longFaultOdds, slowClocks: true,
-	beside: func(r *soakRun, end time.Time, callers *sync.WaitGroup) {
+	background: func(r *soakRun, end time.Time, callers *sync.WaitGroup) {
 		callers.Add(1)
 		go func() {
 			defer callers.Done()
@@ -104,33 +102,33 @@
 	},
 }
 
-// TestSoakLongTasks is the soak with tasks that outlive the bounds of contact and
-// lease among the short ones, while series of faults strike an entry and agents
-// within little more than a second: no two runs of a task may be at work at one time.
+// TestSoakLongTasks is the soak with tasks that run longer than the bounds of contact and
+// lease, while series of faults hit an entry and agents within little more than a second.
+// No two runs of a task may overlap.
 func TestSoakLongTasks(t *testing.T) {
-	length := time.Duration(soakNumber(soakSecondsVariable, longSeconds)) * time.Second
-	rounds := int(soakNumber(soakRoundsVariable, 1))
-	for _, seed := range soakSeedsOr(longSoakSeeds) {
+	length := time.Duration(envUint(soakSecondsVariable, longSeconds)) * time.Second
+	rounds := int(envUint(soakRoundsVariable, 1))
+	for _, seed := range chooseSeeds(longSoakSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { soak(t, longTasksPlan, seed, length, rounds) })
 	}
 }
 
-// part returns the sequence of random numbers of a part of the round.
-func (r *soakRun) part(part uint64) *rand.Rand {
+// randomFor returns the stream of random numbers of a part in this round.
+func (r *soakRun) randomFor(part uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(r.seed, part<<32|uint64(r.rounds)))
 }
 
-// longJobs hands in jobs with long tasks until a time. While too many wait for their
-// answers, a job is left out; the others stay what they are.
+// longJobs submits jobs with long tasks until a time. A job is skipped while too many
+// others wait for their answers; this does not change the jobs that follow.
 func (r *soakRun) longJobs(end time.Time, callers *sync.WaitGroup) {
-	random := r.part(longJobsPart)
+	random := r.randomFor(longJobsPart)
 	slots := make(chan struct{}, longCallers)
 	for count := 1; time.Now().Before(end); count++ {
 		if count > longBurst {
 			pause(longPause)
 		}
 		r.longCount++
-		lasts := leastLong + time.Duration(random.Int64N(int64(mostLong-leastLong)))
+		lasts := minLong + time.Duration(random.Int64N(int64(maxLong-minLong)))
 		j := &soakJob{id: longID(r.longCount, lasts), tasks: 1 + random.IntN(longTasks), bestEffort: random.IntN(4) != 0, long: true}
 		first, cancel := random.IntN(len(r.entries)), random.IntN(12) == 0
 		select {
@@ -151,33 +149,34 @@
 	}
 }
 
-// addLong keeps a job with long tasks for the checks.
+// addLong records a job with long tasks for the checks.
 func (r *soakRun) addLong(j *soakJob) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.longs = append(r.longs, j)
 }
 
-// longClient waits as long as the deadline that a call names, over open connections.
+// longClient is platformClient with a timeout of longDeadline.
 var longClient = &http.Client{Timeout: longDeadline, Transport: platformClient.Transport}
 
-// handInLong hands a job with long tasks in. One that is kept is answered at once.
-func (r *soakRun) handInLong(j *soakJob, e *machine) (status int, state string) {
+// submitLong submits a job with long tasks. Unless it is best-effort, it is answered as
+// soon as it is accepted.
+func (r *soakRun) submitLong(j *soakJob, e *box) (status int, state string) {
 	lasts, _ := longWork(job.ID(j.id))
 	body := platformJobOf(j.tasks, j.bestEffort, lasts)
 	began := time.Now()
-	r.tellOf(j, "to %s", e.name)
+	r.logCall(j, "to %s", e.name)
 	if j.bestEffort {
 		status, state = e.askWithin(longClient, longDeadline, http.MethodPost, platformPrefix+j.id, body)
 	} else {
 		status, state = e.ask(http.MethodPost, j.id, body)
 	}
-	r.tellOf(j, "%s answers %d %s", e.name, status, state)
+	r.logCall(j, "%s answers %d %s", e.name, status, state)
 	j.longest = max(j.longest, time.Since(began))
 	return status, state
 }
 
-// tellOf adds a line to the story of a job.
-func (r *soakRun) tellOf(j *soakJob, format string, args ...any) {
-	j.story = append(j.story, r.line(time.Now(), format, args...))
+// logCall adds a line to a job's call log.
+func (r *soakRun) logCall(j *soakJob, format string, args ...any) {
+	j.callLog = append(j.callLog, r.line(time.Now(), format, args...))
 }
--- a/test/soak_series_test.go
+++ b/test/soak_series_test.go
@@ -9,180 +9,179 @@
 	"rackspur/internal/standin"
 )
 
-// Times of a series of faults, in milliseconds. The agents' faults begin from half a
-// second before to 1.6 s after the entry's: the bounds of contact (1 s) and lease (1 s)
-// and the callers' wait (1.3 s) meet there.
+// Times of a series of faults. The agents' faults start from seriesEarlyMS before to
+// seriesLateMS after the entry's: within that range the bounds of contact (1 s) and lease
+// (1 s) and the callers' resubmission (1.3 s) interact.
 const (
-	seriesFirst   = 900
-	seriesPause   = 1400
-	seriesSpread  = 900
-	seriesEarly   = 500
-	seriesLate    = 1600
-	seriesAgain   = 300
-	seriesMostAge = 1500
-	// Half of the agents' faults begin between these times after the entry's: from
-	// the callers' wait less a lease up to the bound of contact and a tick, where a
-	// lease that was given last outlives the callers' wait.
-	seriesClose = 200
-	seriesApart = 1100
+	seriesFirstMS     = 900
+	seriesPauseMS     = 1400
+	seriesSpreadMS    = 900
+	seriesEarlyMS     = 500
+	seriesLateMS      = 1600
+	seriesRepeatMinMS = 300
+	seriesRepeatMaxMS = 1500
+	// Half of the agents' faults start between these times after the entry's: the last
+	// lease that the agent granted then outlasts the callers' wait for an answer.
+	seriesNearMinMS = 200
+	seriesNearMaxMS = 1100
 )
 
-// mostDown is how many agents may be away until the end of a round.
-const mostDown = 2
+// maxAgentsDown is how many agents of a round may be killed until its end.
+const maxAgentsDown = 2
 
-// Kinds of blows: what a series does to one machine.
+// Kinds of faults of a series, each at one box.
 const (
-	blowKill = iota
-	blowStop
-	blowFreeze
-	// blowCut resets the connections and refuses new ones for a time.
-	blowCut
-	// blowSilent lets no byte through for a time.
-	blowSilent
-	// blowReset resets the clients' connections once.
-	blowReset
-	// blowFreezeReset is a freeze whose clients lose their connections.
-	blowFreezeReset
-	// blowKillToEnd keeps the process away until the end of the round.
-	blowKillToEnd
-	// blowExecutor lets nothing through between an agent and its executor.
-	blowExecutor
-	// blowOrders has an executor's orders unanswered, and lost or carried out late.
-	blowOrders
+	faultKill = iota
+	faultStop
+	faultFreeze
+	// faultCut resets the inbound connections and refuses new ones for a time.
+	faultCut
+	// faultSilent drops all bytes of the inbound connections for a time.
+	faultSilent
+	// faultReset resets the inbound connections once.
+	faultReset
+	// faultFreezeReset freezes the process and resets the inbound connections.
+	faultFreezeReset
+	// faultKillToEnd kills the process until the end of the round.
+	faultKillToEnd
+	// faultTargetSilent drops all bytes between an agent and its target for a time.
+	faultTargetSilent
+	// faultOrders leaves some orders to a target unanswered, and loses or delays them.
+	faultOrders
 )
 
 var (
-	entryBlows = [...]int{
-		blowKill, blowKill, blowKill, blowKill, blowStop, blowStop, blowFreeze,
-		blowFreezeReset, blowFreezeReset, blowCut, blowSilent, blowReset, blowReset,
+	entryFaults = [...]int{
+		faultKill, faultKill, faultKill, faultKill, faultStop, faultStop, faultFreeze,
+		faultFreezeReset, faultFreezeReset, faultCut, faultSilent, faultReset, faultReset,
 	}
-	agentBlows = [...]int{blowKill, blowKill, blowKillToEnd, blowFreeze, blowFreeze, blowCut, blowSilent, blowSilent, blowExecutor, blowOrders}
+	agentFaults = [...]int{faultKill, faultKill, faultKillToEnd, faultFreeze, faultFreeze, faultCut, faultSilent, faultSilent, faultTargetSilent, faultOrders}
 )
 
-// blow is one fault of a series.
-type blow struct {
-	m     *machine
+// seriesFault is one fault of a series: after is its start within the series.
+type seriesFault struct {
+	m     *box
 	kind  int
 	after time.Duration
 	lasts time.Duration
 }
 
-// allSeries strikes with one series after the other until a time.
+// allSeries runs one series of faults after another until a time.
 func (r *soakRun) allSeries(end time.Time) {
-	random := r.part(longSeriesPart)
+	random := r.randomFor(longSeriesPart)
 	down := 0
-	pause(milliseconds(seriesFirst + random.IntN(seriesSpread)))
+	pause(milliseconds(seriesFirstMS + random.IntN(seriesSpreadMS)))
 	for time.Now().Before(end) {
 		entry, twice := random.IntN(len(r.entries)), random.IntN(4) == 0
-		again := milliseconds(seriesAgain + random.IntN(seriesMostAge-seriesAgain))
-		blows := r.newSeries(random, entry, &down)
-		r.strikeAll(blows, 0, end)
+		again := milliseconds(seriesRepeatMinMS + random.IntN(seriesRepeatMaxMS-seriesRepeatMinMS))
+		series := r.newSeries(random, entry, &down)
+		r.startSeries(series, 0, end)
 		if twice {
-			blows[0].m = r.entries[(entry+1)%len(r.entries)]
-			r.strikeAll(blows, again, end)
+			series[0].m = r.entries[(entry+1)%len(r.entries)]
+			r.startSeries(series, again, end)
 		}
-		pause(milliseconds(seriesPause + random.IntN(seriesSpread)))
+		pause(milliseconds(seriesPauseMS + random.IntN(seriesSpreadMS)))
 	}
 }
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// newSeries draws a series: a blow at an entry, and blows at one to three agents.
-func (r *soakRun) newSeries(random *rand.Rand, entry int, down *int) []blow {
-	blows := []blow{{
-		m: r.entries[entry], kind: entryBlows[random.IntN(len(entryBlows))],
-		after: milliseconds(seriesEarly), lasts: milliseconds(300 + random.IntN(1700)),
+// newSeries draws a series: a fault at an entry and one at each of one to three agents.
+func (r *soakRun) newSeries(random *rand.Rand, entry int, down *int) []seriesFault {
+	series := []seriesFault{{
+		m: r.entries[entry], kind: entryFaults[random.IntN(len(entryFaults))],
+		after: milliseconds(seriesEarlyMS), lasts: milliseconds(300 + random.IntN(1700)),
 	}}
 	count := 1 + random.IntN(3)
 	for _, i := range random.Perm(len(r.agents))[:count] {
-		kind := agentBlows[random.IntN(len(agentBlows))]
-		if kind == blowKillToEnd {
-			if *down++; *down > mostDown {
-				kind = blowKill
+		kind := agentFaults[random.IntN(len(agentFaults))]
+		if kind == faultKillToEnd {
+			if *down++; *down > maxAgentsDown {
+				kind = faultKill
 			}
 		}
-		blows = append(blows, blow{
+		series = append(series, seriesFault{
 			m: r.agents[i], kind: kind,
-			after: agentAfter(random), lasts: blowLasts(random, kind),
+			after: agentAfter(random), lasts: faultDuration(random, kind),
 		})
 	}
-	return blows
+	return series
 }
 
-// agentAfter draws when an agent is struck, from the series' begin on.
+// agentAfter draws when an agent's fault starts within a series.
 func agentAfter(random *rand.Rand) time.Duration {
-	anywhere := random.IntN(seriesEarly + seriesLate)
-	near := seriesEarly + seriesClose + random.IntN(seriesApart-seriesClose)
+	anywhere := random.IntN(seriesEarlyMS + seriesLateMS)
+	near := seriesEarlyMS + seriesNearMinMS + random.IntN(seriesNearMaxMS-seriesNearMinMS)
 	if random.IntN(2) == 0 {
 		return milliseconds(near)
 	}
 	return milliseconds(anywhere)
 }
 
-// blowLasts draws how long a blow at an agent lasts.
-func blowLasts(random *rand.Rand, kind int) time.Duration {
-	if kind == blowKill {
+// faultDuration draws how long an agent's fault lasts.
+func faultDuration(random *rand.Rand, kind int) time.Duration {
+	if kind == faultKill {
 		return milliseconds(100 + random.IntN(1900))
 	}
 	return milliseconds(500 + random.IntN(2500))
 }
 
-// strikeAll begins the blows of a series, each at its time.
-func (r *soakRun) strikeAll(blows []blow, after time.Duration, end time.Time) {
-	for _, b := range blows {
+// startSeries schedules the faults of a series, shifted by after.
+func (r *soakRun) startSeries(series []seriesFault, after time.Duration, end time.Time) {
+	for _, b := range series {
 		r.faults.Add(1)
 		go func() {
 			defer r.faults.Done()
 			pause(after + b.after)
-			r.strikeOnce(b, end)
+			r.applySeriesFault(b, end)
 		}()
 	}
 }
 
-// strikeOnce carries out a blow.
-func (r *soakRun) strikeOnce(b blow, end time.Time) {
+// applySeriesFault applies a fault of a series and waits for its end.
+func (r *soakRun) applySeriesFault(b seriesFault, end time.Time) {
 	m := b.m
 	switch b.kind {
-	case blowKill:
-		m.downNoted(r, "kill", m.kill, func() time.Duration { return b.lasts })
-	case blowKillToEnd:
-		m.downNoted(r, "kill", m.kill, func() time.Duration { return time.Until(end) })
-	case blowStop:
-		m.downNoted(r, "stop", func() {
+	case faultKill:
+		m.restartLogged(r, "kill", m.kill, func() time.Duration { return b.lasts })
+	case faultKillToEnd:
+		m.restartLogged(r, "kill", m.kill, func() time.Duration { return time.Until(end) })
+	case faultStop:
+		m.restartLogged(r, "stop", func() {
 			m.signal(syscall.SIGTERM)
 			<-m.done
 		}, func() time.Duration { return b.lasts / 4 })
-	case blowFreeze:
+	case faultFreeze:
 		r.freezeFor(m, b.lasts, func() {})
-	case blowFreezeReset:
-		r.freezeFor(m, b.lasts, m.inward.breakAll)
-	case blowCut:
-		r.harm(m.name, "cut", m.inward, faults{Refuse: true}, b.lasts)
-	case blowSilent:
-		r.harm(m.name, "silent", m.inward, faults{CutUp: true, CutDown: true}, b.lasts)
-	case blowReset:
+	case faultFreezeReset:
+		r.freezeFor(m, b.lasts, m.inbound.breakAll)
+	case faultCut:
+		r.disrupt(m.name, "cut", m.inbound, faults{Refuse: true}, b.lasts)
+	case faultSilent:
+		r.disrupt(m.name, "silent", m.inbound, faults{CutUp: true, CutDown: true}, b.lasts)
+	case faultReset:
 		r.note("series: %s: connections reset", m.name)
-		m.inward.breakAll()
-	case blowExecutor:
-		r.harm(m.name, "executor silent", m.app, faults{CutUp: true, CutDown: true}, b.lasts)
-	case blowOrders:
+		m.inbound.breakAll()
+	case faultTargetSilent:
+		r.disrupt(m.name, "target silent", m.targetProxy, faults{CutUp: true, CutDown: true}, b.lasts)
+	case faultOrders:
 		r.loseOrders(m, b.lasts)
 	}
 }
 
-// downNoted is down with a note of the moments.
-func (m *machine) downNoted(r *soakRun, how string, end func(), lasts func() time.Duration) {
+// restartLogged is restartAfterDelay with log lines for the end and the restart.
+func (m *box) restartLogged(r *soakRun, how string, end func(), lasts func() time.Duration) {
 	m.busy.Lock()
 	defer m.busy.Unlock()
 	r.note("series: %s %s", how, m.name)
 	end()
 	pause(max(0, lasts()))
-	r.note("series: %s is started again", m.name)
+	r.note("series: restart %s", m.name)
 	m.restart()
 }
 
-// freezeFor suspends a process for a time; frozen is called at its begin.
-func (r *soakRun) freezeFor(m *machine, lasts time.Duration, frozen func()) {
+// freezeFor suspends a process for a time; frozen is called right after it is suspended.
+func (r *soakRun) freezeFor(m *box, lasts time.Duration, frozen func()) {
 	m.busy.Lock()
 	defer m.busy.Unlock()
 	r.note("series: freeze %s for %v", m.name, lasts)
@@ -192,9 +191,9 @@
 	m.thaw()
 }
 
-// harm harms connections for a time; those that were open end with it, since bytes
-// have been lost on them.
-func (r *soakRun) harm(name, how string, p *proxy, f faults, lasts time.Duration) {
+// disrupt applies faults to a proxy for a time and then closes the open connections, since
+// bytes were dropped on them.
+func (r *soakRun) disrupt(name, how string, p *proxy, f faults, lasts time.Duration) {
 	r.note("series: %s: %s for %v", name, how, lasts)
 	p.set(f)
 	if f.Refuse {
@@ -205,37 +204,37 @@
 	p.breakAll()
 }
 
-// Fates of the orders that a blow meets: of each three, one passes, one is lost and one
-// is carried out late.
+// Outcomes of orders during faultOrders, equally likely: carried out, lost, carried out
+// late.
 const (
-	orderFates = 3
-	orderLost  = 1
-	orderLate  = 2
+	orderOutcomes = 3
+	orderLost     = 1
+	orderLate     = 2
 )
 
-// mostLate is how much later an order may be carried out.
-const mostLate = 2 * time.Second
+// maxOrderDelay is the longest delay of an order that is carried out late.
+const maxOrderDelay = 2 * time.Second
 
-// loseOrders has the orders to an agent's executor unanswered for a time, some lost and
-// some carried out late. Holds pass: without them all would lapse at once.
-func (r *soakRun) loseOrders(m *machine, lasts time.Duration) {
-	r.note("series: orders to the executor of %s are lost or late for %v", m.name, lasts)
+// loseOrders loses or delays orders to an agent's target for a time. Holds pass: without
+// them all runs would lapse.
+func (r *soakRun) loseOrders(m *box, lasts time.Duration) {
+	r.note("series: orders to the target of %s are lost or late for %v", m.name, lasts)
 	var orders atomic.Uint64
 	m.port.SetLoseOrders(func(kind string) standin.Loss {
 		if kind == standin.OrderHold {
 			return standin.Loss{}
 		}
-		return orderFate(r.seed, orders.Add(1))
+		return orderOutcome(r.seed, orders.Add(1))
 	})
 	pause(lasts)
 	m.port.SetLoseOrders(nil)
 }
 
-// orderFate draws what becomes of an order by its number.
-func orderFate(seed, number uint64) standin.Loss {
+// orderOutcome draws the outcome of an order by its number.
+func orderOutcome(seed, number uint64) standin.Loss {
 	random := rand.New(rand.NewPCG(seed, longOrdersPart<<32|number))
-	late := time.Duration(1 + random.Int64N(int64(mostLate)))
-	switch random.IntN(orderFates) {
+	late := time.Duration(1 + random.Int64N(int64(maxOrderDelay)))
+	switch random.IntN(orderOutcomes) {
 	case orderLost:
 		return standin.Loss{Unanswered: true}
 	case orderLate:
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Settings of the soak by environment.
+// Environment variables of the soaks.
 const (
 	soakSeedVariable    = "RACKSPUR_SOAK_SEED"
 	soakSeedsVariable   = "RACKSPUR_SOAK_SEEDS"
@@ -20,109 +20,107 @@
 	soakRoundsVariable  = "RACKSPUR_SOAK_ROUNDS"
 )
 
-// soakSeeds are played in each run: one without a known failure, and each that
-// has ever failed, with its cause.
+// soakSeeds are the seeds of TestSoak: one without a known failure, and each that has
+// failed, with the cause.
 var soakSeeds = []uint64{
 	1,             // no failure known
-	1064252533387, // SIGHUP right after a start ended the process: it was not caught yet
-	1074007552760, // a silent connection to the store left an entry without changes for 22 s
+	1064252533387, // SIGHUP before its handler was installed ended the process
+	1074007552760, // a silent store connection kept changes from an entry for 22 s
 	25474278447,   // the same
-	// Leases of 15 s are allowed, and processes were long in starting work again.
+	// With leases of up to 15 s, restarted processes were slow to start work.
 	drawnBoundsFrom + 1,
 }
 
-// Times of the soak.
+// Times and sizes of the soak.
 const (
-	soakResend   = 1400 * time.Millisecond
-	soakCancel   = 3 * time.Second
-	soakTries    = 12
-	soakCallers  = 24
-	soakJobPause = 15 * time.Millisecond
-	// soakChange is the time between two changes of the configuration.
-	soakChange = time.Second
-	// soakInForce is the time in which the newest configuration is in force at all
-	// entries once the faults have ended: twice the users' bound, 3 s of contact and
-	// 2 s for the change, since the test's machine may be busy.
-	soakInForce = 10 * time.Second
-	// soakWork is the time in which each target gets work once the faults have ended: as
-	// long again.
-	soakWork = 10 * time.Second
+	soakResend        = 1400 * time.Millisecond
+	soakCancelTimeout = 3 * time.Second
+	soakTries         = 12
+	soakCallers       = 24
+	soakJobPause      = 15 * time.Millisecond
+	// soakChangeInterval is the time between two changes of the configuration.
+	soakChangeInterval = time.Second
+	// soakInForceTimeout is the longest time until the newest configuration is in force
+	// at all entries after the faults: twice the contract's bound (3 s of contact and 2 s
+	// for the change), since the test's box may be busy.
+	soakInForceTimeout = 10 * time.Second
+	// soakWorkTimeout is the longest time until each target gets work after the faults.
+	soakWorkTimeout = 10 * time.Second
 )
 
-func soakNumber(name string, otherwise uint64) uint64 {
+func envUint(name string, fallback uint64) uint64 {
 	n, err := strconv.ParseUint(os.Getenv(name), 10, 64)
 	if err != nil {
-		return otherwise
+		return fallback
 	}
 	return n
 }
 
-// TestSoak runs the program's roles as processes while they are stopped, killed,
-// paused and cut off, the store misbehaves and executors crash, and checks what
-// clients and executors have seen. A seed fixes the faults; their moments differ
-// a little from run to run. A run may have several rounds: the faults end, what must
-// hold then is checked, and the same processes go on.
+// TestSoak runs entries and agents as processes while they are stopped, killed, paused
+// and cut off, the store fails and targets crash, and checks what callers and targets
+// have seen. The seed fixes the faults, but not their exact timing. In each round the
+// faults end and recovery is checked; the next round continues with the same processes.
 func TestSoak(t *testing.T) {
-	length := time.Duration(soakNumber(soakSecondsVariable, 6)) * time.Second
-	rounds := int(soakNumber(soakRoundsVariable, 1))
-	for _, seed := range soakSeedsOr(soakSeeds) {
+	length := time.Duration(envUint(soakSecondsVariable, 6)) * time.Second
+	rounds := int(envUint(soakRoundsVariable, 1))
+	for _, seed := range chooseSeeds(soakSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { soak(t, shortTasks, seed, length, rounds) })
 	}
 }
 
-// soakSeedsOr returns the seeds to play: the one that is asked for or the usual ones,
-// and as many fresh ones as are asked for.
-func soakSeedsOr(usual []uint64) []uint64 {
+// chooseSeeds returns the seed set by the environment, or else the usual ones, and as
+// many random seeds as the environment asks for.
+func chooseSeeds(usual []uint64) []uint64 {
 	seeds := append([]uint64(nil), usual...)
-	if seed := soakNumber(soakSeedVariable, 0); seed != 0 {
+	if seed := envUint(soakSeedVariable, 0); seed != 0 {
 		seeds = []uint64{seed}
 	}
-	for range soakNumber(soakSeedsVariable, 0) {
+	for range envUint(soakSeedsVariable, 0) {
 		seeds = append(seeds, drawnBoundsFrom+rand.Uint64N(drawnBoundsFrom))
 	}
 	return seeds
 }
 
-// soakPlan is what a soak does beside its random faults.
+// soakPlan configures a soak.
 type soakPlan struct {
-	// resend is the time after which a job without an answer is handed in again.
+	// resend is the time after which a job without an answer is submitted again.
 	resend time.Duration
 	// jobPause is the time between two jobs with short tasks.
 	jobPause time.Duration
-	// faultOdds: one in so many of these jobs brings a fault.
+	// faultOdds: one in faultOdds of these jobs is accompanied by a random fault.
 	faultOdds int
-	// beside starts what else goes on until the round's end; its callers and faults
-	// join those of the round.
-	beside func(r *soakRun, end time.Time, callers *sync.WaitGroup)
-	// slowClocks: some executors have slow clocks.
+	// background starts further load and faults until end. It adds its callers to
+	// callers and its faults to r.faults.
+	background func(r *soakRun, end time.Time, callers *sync.WaitGroup)
+	// slowClocks gives every other life of a target a slow clock.
 	slowClocks bool
-	// domains is how many failure domains the machines are spread over; 0 means one.
+	// domains is the number of failure domains; 0 means one.
 	domains int
 }
 
 // shortTasks is the plan of TestSoak.
 var shortTasks = soakPlan{
 	resend: soakResend, jobPause: soakJobPause, faultOdds: 20,
-	beside: func(*soakRun, time.Time, *sync.WaitGroup) {},
+	background: func(*soakRun, time.Time, *sync.WaitGroup) {},
 }
 
-// soakJob is what a client saw of a job.
+// soakJob is a job as its caller saw it.
 type soakJob struct {
 	id         string
 	tasks      int
 	bestEffort bool
-	// long: its tasks take seconds.
+	// long marks a job whose tasks take seconds.
 	long bool
-	// tries is how often it was handed in, longest the longest call for that.
+	// tries is the number of submissions, longest the duration of the longest.
 	tries   int
 	longest time.Duration
-	// story is what its caller did, for the log of a run that fails.
-	story []string
-	// accepted: answered with success; refused: every try was turned away.
+	// callLog lists its caller's calls and their answers, for the log of a failed test.
+	callLog []string
+	// accepted: answered with success; refused: every try was refused.
 	accepted, refused bool
-	// state is the newest that was told.
+	// state is the newest state in an answer.
 	state string
-	// cancelled is when a cancel was answered with success.
+	// cancelled is when a cancellation was answered with success.
 	cancelled time.Time
 }
 
@@ -134,23 +132,24 @@
 	random *rand.Rand
 	mu     sync.Mutex
 	jobs   []*soakJob
-	// longs are the jobs with long tasks of the round, longCount numbers them.
+	// longs are the round's jobs with long tasks, longCount numbers those of all rounds.
 	longs     []*soakJob
 	longCount int
 	faults    sync.WaitGroup
-	// version is the newest configuration; versionMu is held while it is written.
+	// version is the newest version of the configuration; versionMu is held while it is
+	// written.
 	versionMu sync.Mutex
 	version   int
 	log       []string
 	began     time.Time
 	// rounds counts the rounds.
 	rounds int
-	// evacuationJobs numbers the jobs that look for starts in a failure domain.
+	// evacuationJobs numbers the jobs of sendUntil.
 	evacuationJobs atomic.Int64
 }
 
 func soak(t *testing.T, plan soakPlan, seed uint64, length time.Duration, rounds int) {
-	t.Logf("seed %d; again with %s=%d", seed, soakSeedVariable, seed)
+	t.Logf("seed %d; to repeat, set %s=%d", seed, soakSeedVariable, seed)
 	d := &deployment{t: t, slowClocks: plan.slowClocks, domains: plan.domains, bounds: soakBounds(seed)}
 	t.Logf("bounds %+v", d.bounds)
 	d.begin(3, 4)
@@ -165,24 +164,25 @@
 	for range rounds {
 		r.round(length)
 	}
-	r.settle()
+	r.awaitFinished()
 	r.check()
 }
 
-// round sends jobs and strikes for a time, then lets the faults end.
+// round sends jobs and injects faults for a time, then ends the faults and checks that
+// the processes recover.
 func (r *soakRun) round(length time.Duration) {
 	changes := r.change()
 	r.rounds++
 	var callers sync.WaitGroup
 	slots := make(chan struct{}, soakCallers)
 	end := time.Now().Add(length)
-	r.plan.beside(r, end, &callers)
+	r.plan.background(r, end, &callers)
 	for time.Now().Before(end) {
 		j := &soakJob{id: fmt.Sprintf("%016x", len(r.jobs)+1), tasks: 1 + r.random.IntN(8), bestEffort: r.random.IntN(2) == 0}
 		r.jobs = append(r.jobs, j)
 		first, cancel := r.random.IntN(len(r.entries)), r.random.IntN(12) == 0
 		if r.random.IntN(r.plan.faultOdds) == 0 {
-			r.fault()
+			r.injectFault()
 		}
 		slots <- struct{}{}
 		callers.Add(1)
@@ -198,22 +198,21 @@
 	}
 	r.faults.Wait()
 	r.store.SetFault(nil)
-	calm := time.Now()
+	faultsEnded := time.Now()
 	r.checkAlive()
 	r.checkInForce()
-	r.checkWork(calm)
+	r.checkWork(faultsEnded)
 	changes()
 	callers.Wait()
 	r.jobs, r.longs = append(r.jobs, r.longs...), nil
 }
 
-// change changes the configuration again and again until the function that it returns
-// is called.
+// change changes the configuration at regular intervals until stop is called.
 func (r *soakRun) change() (stop func()) {
 	stopped, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
-		ticker := time.NewTicker(soakChange)
+		ticker := time.NewTicker(soakChangeInterval)
 		defer ticker.Stop()
 		for {
 			select {
@@ -245,12 +244,12 @@
 	<-timer.C
 }
 
-// call hands a job in, again at the next entry while its fate is not known.
+// call submits a job, and again at the next entry while its outcome is unknown.
 func (r *soakRun) call(j *soakJob, first int) {
 	j.refused = true
 	for try := range soakTries {
 		j.tries++
-		status, state := r.handIn(j, r.entries[(first+try)%len(r.entries)])
+		status, state := r.submit(j, r.entries[(first+try)%len(r.entries)])
 		switch status {
 		case http.StatusOK:
 			j.accepted, j.refused, j.state = true, false, state
@@ -263,15 +262,15 @@
 	}
 }
 
-// handIn hands a job in at an entry and waits for the answer.
-func (r *soakRun) handIn(j *soakJob, e *machine) (status int, state string) {
+// submit submits a job to an entry and waits for the answer.
+func (r *soakRun) submit(j *soakJob, e *box) (status int, state string) {
 	if j.long {
-		return r.handInLong(j, e)
+		return r.submitLong(j, e)
 	}
 	return e.ask(http.MethodPost, j.id, platformJob(j.tasks, j.bestEffort))
 }
 
-// cancel cancels a job until that is answered.
+// cancel tries to cancel a job until that is answered with success.
 func (r *soakRun) cancel(j *soakJob, first int) {
 	for try := range soakTries {
 		if status, _ := r.entries[(first+try)%len(r.entries)].ask(http.MethodDelete, j.id, nil); status == http.StatusOK {
@@ -282,14 +281,14 @@
 	}
 }
 
-// note keeps a line for the log of a run that fails.
+// note adds a line to the log, which is printed if the test fails.
 func (r *soakRun) note(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.log = append(r.log, r.line(time.Now(), format, args...))
 }
 
-// line is a line of the log with the time since the soak's begin.
+// line formats a line of the log with the time since the start of the soak.
 func (r *soakRun) line(at time.Time, format string, args ...any) string {
 	return fmt.Sprintf("%8.3f ", at.Sub(r.began).Seconds()) + fmt.Sprintf(format, args...)
 }
--- a/test/stop_test.go
+++ b/test/stop_test.go
@@ -9,8 +9,8 @@
 	"rackspur/internal/standin"
 )
 
-// TestStopRolling restarts every entry box and every agent in order, one at a
-// time, under load. No submission may go wrong.
+// TestStopRolling stops and restarts every agent and entry box, one at a time, under
+// load. No submission may fail.
 func TestStopRolling(t *testing.T) {
 	c := newCluster(t, shape{entries: 2, agents: 3, slots: 4})
 	l := startLoad(c, 10, 3, 50)
@@ -28,14 +28,14 @@
 		c.awaitLinks(e, len(c.agents))
 	}
 	if wrong := l.stop(); len(wrong) > 0 {
-		t.Errorf("%d of %d submissions went wrong: %s", len(wrong), l.sent.Load(), wrong[0])
+		t.Errorf("%d of %d submissions failed: %s", len(wrong), l.sent.Load(), wrong[0])
 	}
-	t.Logf("%d submissions, none went wrong", l.sent.Load())
+	t.Logf("%d submissions sent", l.sent.Load())
 	c.checkNoDoubles()
 }
 
-// TestStopInFlight stops a home, another agent or an entry box while jobs with
-// waiting tasks run. The jobs end whole.
+// TestStopInFlight stops a home, another agent or an entry box while a job with waiting
+// tasks runs. The job must complete over the same request.
 func TestStopInFlight(t *testing.T) {
 	cases := []struct {
 		name string
@@ -63,17 +63,17 @@
 			if r == nil {
 				t.Fatal("no answer")
 			}
-			checkWhole(t, job, r)
+			checkComplete(t, job, r)
 			if client.Resubmits.Load() > 0 {
-				t.Errorf("the request in flight was cut off")
+				t.Errorf("the caller had to send the request again")
 			}
 			c.checkOnce(job)
 		})
 	}
 }
 
-// TestStopKeepsAnswers has a home leave in order. Through any entry box its ids
-// are answered as it would have: kept answers, and a true "not run".
+// TestStopKeepsAnswers stops a home. Any entry box must then answer for its ids: with
+// the stored answer, or "not-run" for an id that was never used.
 func TestStopKeepsAnswers(t *testing.T) {
 	cases := []struct {
 		name string
@@ -97,35 +97,35 @@
 			home := c.agents[c.homeOf(done)]
 			home.stop()
 			for i := range c.entries {
-				checkLeft(t, c, i, done, unseen, job)
+				checkLeftHome(t, c, i, done, unseen, job)
 			}
-			// After a restart another incarnation answers at the address.
+			// After the restart a new incarnation serves the address.
 			home.restart()
 			c.platformFaults(standin.PlatformFaults{})
 			for i, e := range c.entries {
 				c.awaitLinks(e, 2)
-				checkLeft(t, c, i, done, unseen, job)
+				checkLeftHome(t, c, i, done, unseen, job)
 			}
 			other := c.client(tokenB, 0)
 			r, err := other.Once(c.context(), http.MethodGet, done, nil)
 			if err != nil || r.Status != http.StatusNotFound {
-				t.Errorf("another member asks a home that left: %v %+v", err, r)
+				t.Errorf("another member asks for an id of a home that left: %v %+v", err, r)
 			}
 			c.checkOnce(job)
 		})
 	}
 }
 
-func checkLeft(t *testing.T, c *cluster, entry int, done, unseen string, job *api.Job) {
+func checkLeftHome(t *testing.T, c *cluster, entry int, done, unseen string, job *api.Job) {
 	t.Helper()
 	client := c.client(tokenA, entry)
 	r, err := client.Once(c.context(), http.MethodPut, done, mustJSON(t, job))
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkWhole(t, job, r)
+	checkComplete(t, job, r)
 	r, err = client.Once(c.context(), http.MethodPut, unseen, mustJSON(t, newJob(t, "swap", 1, 10)))
 	if err != nil || r.Outcome() != api.NotRun {
-		t.Errorf("an id never used of a home that left: %v %+v", err, r)
+		t.Errorf("an unused id of a home that left: %v %+v", err, r)
 	}
 }
--- a/test/trace_test.go
+++ b/test/trace_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestTraceEachHop follows one submission from the caller to the target. Every
-// hop has a span of the same trace, and no span shows a payload or a secret.
+// TestTraceEachHop traces a submission from the caller to the target. Every hop must
+// have a span in the same trace, and no span may contain a payload or a secret.
 func TestTraceEachHop(t *testing.T) {
 	c := newCluster(t, shape{entries: 1, agents: 1, slots: 4,
 		entryArgs: []string{"--trace", "stderr"}, agentArgs: []string{"--trace", "stderr"}})
@@ -36,7 +36,7 @@
 	}
 	for _, log := range []string{r.errOut, c.entries[0].log.String(), c.agents[0].log.String()} {
 		if strings.Contains(log, "secret-a") || strings.Contains(log, t.Name()) {
-			t.Error("a span or log line shows a secret or a payload")
+			t.Error("a span or log line contains a secret or a payload")
 		}
 	}
 }
@@ -46,7 +46,7 @@
 	traceField = `"TraceID":"`
 )
 
-// traceOf returns the trace of the first span with the name.
+// traceOf returns the trace id of the first span with the name.
 func traceOf(log, span string) string {
 	for _, line := range strings.Split(log, "\n") {
 		if strings.Contains(line, nameField+span+`"`) {
--- a/test/wakeups_test.go
+++ b/test/wakeups_test.go
@@ -12,22 +12,22 @@
 	"time"
 )
 
-// Sizes and loads of BenchmarkWakeUps.
+// Load and duration of BenchmarkWakeUps.
 const (
 	wakeUpSpan = 8 * time.Second
-	// wakeUpJobs is the load in jobs of four tasks a second.
+	// wakeUpJobs is the number of jobs per second, wakeTasks the tasks of each.
 	wakeUpJobs = 40
 	wakeTasks  = 4
 )
 
-// BenchmarkWakeUps counts how often each role's process wakes and how much processor
-// time it takes, idle and under load, by the numbers of entry boxes and agents:
+// BenchmarkWakeUps measures the wake-ups and the processor time of each role's
+// processes, idle and under load, for several numbers of entry boxes and agents:
 //
 //	go test ./test -run xxx -bench WakeUps -benchtime 1x
 //
 // A wake-up is a voluntary context switch of any thread.
 func BenchmarkWakeUps(b *testing.B) {
-	// One processor for each process, as on the machines of the platform.
+	// One processor for each process, as on the platform's boxes.
 	b.Setenv("GOMAXPROCS", "1")
 	for _, size := range []struct{ entries, agents int }{{4, 8}, {12, 8}, {4, 24}} {
 		b.Run(fmt.Sprintf("%d entries and %d agents", size.entries, size.agents), func(b *testing.B) {
@@ -43,7 +43,8 @@
 	}
 }
 
-// load sends best-effort jobs at a steady rate, to all entries in turn.
+// load sends best-effort jobs at a constant rate, to all entries in turn, until stop is
+// called.
 func (d *deployment) load() (stop func()) {
 	done := make(chan struct{})
 	var calls sync.WaitGroup
@@ -67,40 +68,40 @@
 	}
 }
 
-// watch prints what the processes of each role use by the second, on average.
+// watch prints the average wake-ups and processor time per second of each role's processes.
 func (d *deployment) watch(label string) {
 	roles := []struct {
-		name     string
-		machines []*machine
+		name  string
+		boxes []*box
 	}{{"entry", d.entries}, {"agent", d.agents}}
-	before := map[*machine]effort{}
+	before := map[*box]processUsage{}
 	for _, r := range roles {
-		for _, m := range r.machines {
-			before[m] = m.effort()
+		for _, m := range r.boxes {
+			before[m] = m.usage()
 		}
 	}
 	pause(wakeUpSpan)
 	for _, r := range roles {
-		var sum effort
-		for _, m := range r.machines {
-			after := m.effort()
+		var sum processUsage
+		for _, m := range r.boxes {
+			after := m.usage()
 			sum.wakeUps += after.wakeUps - before[m].wakeUps
 			sum.cpu += after.cpu - before[m].cpu
 		}
-		n := float64(len(r.machines)) * wakeUpSpan.Seconds()
+		n := float64(len(r.boxes)) * wakeUpSpan.Seconds()
 		fmt.Printf("| %s | %s | %.0f wake-ups/s | %.2f%% of a core |\n", label, r.name, float64(sum.wakeUps)/n, 100*sum.cpu.Seconds()/n)
 	}
 }
 
-// effort is what a process has used so far.
-type effort struct {
+// processUsage is the wake-ups and processor time of a process so far.
+type processUsage struct {
 	wakeUps int
 	cpu     time.Duration
 }
 
-func (m *machine) effort() effort {
+func (m *box) usage() processUsage {
 	pid := strconv.Itoa(m.cmd.Process.Pid)
-	var e effort
+	var e processUsage
 	threads, _ := filepath.Glob(filepath.Join("/proc", pid, "task", "*", "status"))
 	for _, path := range threads {
 		status, err := os.ReadFile(path)
--- a/test/whole_test.go
+++ b/test/whole_test.go
@@ -8,13 +8,12 @@
 	"rackspur/internal/standin"
 )
 
-// TestWholeOrFailed disturbs one target of a job that is spread over many. The
-// answer is the whole one or marked failed, and it comes at once.
+// TestWholeOrFailed injects a fault at one of several targets that run a job. The job
+// must be answered as failed, with the right reason and the state of each task.
 func TestWholeOrFailed(t *testing.T) {
 	cases := []struct {
-		name  string
-		fault func(c *cluster)
-		// reason is the reason of the failure.
+		name   string
+		fault  func(c *cluster)
 		reason string
 	}{
 		{"1 half an answer", func(c *cluster) { c.targetFaults(1, standin.TargetFaults{Answer: standin.AnswerHalf}) }, "task-failed"},
@@ -38,20 +37,20 @@
 			if reply.Outcome() != api.Failed || reply.Problem.Reason != tc.reason {
 				t.Fatalf("want failed for %s: %+v", tc.reason, reply.Problem)
 			}
-			checkListed(t, c, job, reply.Problem)
+			checkTaskStates(t, c, job, reply.Problem)
 		})
 	}
 }
 
-// checkListed checks what a failure says of its tasks against the start logs.
-func checkListed(t *testing.T, c *cluster, job *api.Job, p *api.Problem) {
+// checkTaskStates checks the task states in a failure against the start logs.
+func checkTaskStates(t *testing.T, c *cluster, job *api.Job, p *api.Problem) {
 	t.Helper()
 	if len(p.Results) != len(job.Tasks) {
 		t.Fatalf("%d of %d tasks listed", len(p.Results), len(job.Tasks))
 	}
 	for i, n := range c.startsOf(job) {
 		if p.Results[i].Status == api.TaskNotStarted && n > 0 {
-			t.Errorf("task %d is listed as not started and started %d times", i, n)
+			t.Errorf("task %d is listed as not started but started %d times", i, n)
 		}
 		if n > 1 {
 			t.Errorf("task %d started %d times", i, n)
@@ -59,8 +58,8 @@
 	}
 }
 
-// TestWholeAgentKilled kills an agent that runs part of a job of 380 tasks. The
-// failure comes long before the lease or the deadline could bring it.
+// TestWholeAgentKilled kills an agent that runs part of a job of 380 tasks. The job must
+// fail long before its lease or deadline expires.
 func TestWholeAgentKilled(t *testing.T) {
 	c := newCluster(t, shape{entries: 1, agents: 4, slots: 8})
 	client := c.client(tokenA, 0)
@@ -90,15 +89,15 @@
 		t.Fatalf("want failed: %+v", a)
 	}
 	gap := a.at.Sub(killed)
-	t.Logf("given up %s after the kill, deadline %d ms", gap, job.DeadlineMS)
+	t.Logf("failed %s after the kill, deadline %d ms", gap, job.DeadlineMS)
 	if gap > time.Duration(job.DeadlineMS)*time.Millisecond/2 {
-		t.Errorf("the failure was held back for %s", gap)
+		t.Errorf("the failure was answered only %s after the kill", gap)
 	}
-	c.settled()
-	checkListed(t, c, job, a.problem)
+	c.awaitIdle()
+	checkTaskStates(t, c, job, a.problem)
 }
 
-// TestWholeStraggler has a job of 380 tasks with one straggler past its lease.
+// TestWholeStraggler submits a job of 380 tasks of which one exceeds its lease.
 func TestWholeStraggler(t *testing.T) {
 	c := newCluster(t, shape{entries: 1, agents: 4, slots: 8})
 	job := newJob(t, "short", 379, 50)
@@ -112,11 +111,11 @@
 	if reply.Outcome() != api.Failed {
 		t.Fatalf("want failed: %+v", reply.Answer)
 	}
-	checkListed(t, c, job, reply.Problem)
+	checkTaskStates(t, c, job, reply.Problem)
 }
 
-// TestWholeAfterGivingUp has a job given up while its tasks run on. Their slots
-// are still in use: a job that comes then must wait for them, not fail.
+// TestWholeAfterGivingUp lets a job reach its deadline while its tasks still run and
+// occupy their slots. The next job must wait for the slots instead of failing.
 func TestWholeAfterGivingUp(t *testing.T) {
 	c := newCluster(t, shape{entries: 1, agents: 1, slots: 4})
 	client := c.client(tokenA, 0)
@@ -131,11 +130,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkWhole(t, job, reply)
+	checkComplete(t, job, reply)
 }
 
-// TestWholeAfterLeases has tasks outlive their leases. The slots stay unused
-// until the target has ended them too, and the next job is whole.
+// TestWholeAfterLeases runs tasks beyond their leases. Their slots must stay unused
+// until the target has ended them, and the next job must complete.
 func TestWholeAfterLeases(t *testing.T) {
 	c := newCluster(t, shape{entries: 1, agents: 1, slots: 4})
 	client := c.client(tokenA, 0)
@@ -149,6 +148,6 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		checkWhole(t, job, reply)
+		checkComplete(t, job, reply)
 	}
 }
