--- a/test/daytable/main.go
+++ b/test/daytable/main.go
@@ -1,10 +1,10 @@
-// Command daytable prints what a day cost each role, and how long news took to reach all
-// boxes: the tables of docs/CAPACITY.md.
+// Command daytable prints the tables of docs/CAPACITY.md: the prices of a simulated day,
+// the load of each role's boxes, and how long changes took to reach all boxes.
 //
 //	go run ./test/daytable -log LOG REPORT...
 //
-// A report is the file of figures that a play of a day leaves, the log what it has printed of
-// the entry boxes; without -log the times are left out.
+// A REPORT is the JSON file that a run of a day writes, LOG the output of the run with the
+// log lines of the entry boxes. Without -log the times are omitted.
 package main
 
 import (
@@ -38,14 +38,14 @@
 		log.Fatalf("daytable: %v", err)
 	}
 	defer f.Close()
-	reach, err := readReach(f)
+	reach, err := readArrivals(f)
 	if err != nil {
 		log.Fatalf("daytable: %s: %v", *logPath, err)
 	}
 	fmt.Print(reach.table())
 }
 
-// report is what is read of a day's report.
+// report holds the fields of a day's report that are printed.
 type report struct {
 	Worth  float64          `json:"G"`
 	Served float64          `json:"served"`
@@ -55,20 +55,20 @@
 	WallS  float64          `json:"wall_s"`
 }
 
-// price is an amount that is charged, and what of the worth that takes.
+// price is an amount that a day is charged for, and its share of the worth.
 type price struct {
 	name   string
 	amount float64
 	worth  float64
 }
 
-// UnmarshalJSON reads a price, which the report has as a list.
+// UnmarshalJSON reads a price from a list of its name, amount and share.
 func (p *price) UnmarshalJSON(b []byte) error {
 	return json.Unmarshal(b, &[]any{&p.name, &p.amount, &p.worth})
 }
 
-// loads is the load of a role's boxes: for each of the measures the middle box and the
-// busiest.
+// loads is the load of a role's boxes: for each of the measures the median and the
+// maximum.
 type loads struct {
 	Machines int          `json:"machines"`
 	Of       [][2]float64 `json:"of"`
@@ -86,15 +86,15 @@
 	return r, json.Unmarshal(b, r)
 }
 
-// leastPrice is the least part of the worth that a price must take to have a line.
-const leastPrice = 0.0005
+// minShare is the smallest share of the worth for which a price is printed.
+const minShare = 0.0005
 
 func (r *report) table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "served %.3f, worth %.3f, rules broken %d, played in %.0f s\n\n", r.Served, r.Worth, len(r.Broken), r.WallS)
 	b.WriteString("| price | amount | of the worth |\n|---|---|---|\n")
 	for _, p := range r.Prices {
-		if p.worth >= leastPrice {
+		if p.worth >= minShare {
 			fmt.Fprintf(&b, "| %s | %.4g | %.4f |\n", p.name, p.amount, p.worth)
 		}
 	}
--- a/test/daytable/main_test.go
+++ b/test/daytable/main_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// The tables of a day name its prices, the load of its roles and the times of its news.
+// The tables show the prices, the load of each role and the times of changes; prices
+// below minShare are omitted.
 func TestTables(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "report")
 	text := `{"G":0.7,"served":0.98,"wall_s":300,"breaks":{},"prices":[["machine-seconds",67140.9,0.1072],["duties missed",0.0,0.0]],
@@ -26,7 +27,7 @@
 		}
 	}
 	if strings.Contains(table, "duties") {
-		t.Errorf("a price of nothing has a line:\n%s", table)
+		t.Errorf("a price of 0 is printed:\n%s", table)
 	}
 	log := ` -23.50 edge-a-1 {"logger":"","msg":"Configuration in force.","node":"edge-a-1","version":1,"routes":2}
    1.00 edge-a-1 {"msg":"Configuration in force.","node":"edge-a-1","version":5,"routes":2}
@@ -34,7 +35,7 @@
    2.00 edge-a-2 {"msg":"Share of the gates is linked.","node":"edge-a-2","share":35,"linked":35,"tookMS":1320}
 day                  own/srv  score
 `
-	reach, err := readReach(strings.NewReader(log))
+	reach, err := readArrivals(strings.NewReader(log))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/test/daytable/reach.go
+++ b/test/daytable/reach.go
@@ -10,28 +10,27 @@
 	"strings"
 )
 
-// reach is when something reached the boxes that a log tells of: for each thing the times
-// in seconds of the day, one a box.
-type reach map[string][]float64
+// arrivals holds, by the name of an event, a time in seconds for each box.
+type arrivals map[string][]float64
 
-// linePattern takes a line of the log apart: its time in the day, its box, what was logged.
+// linePattern matches a line of the log: its time in the day, its box, the box's log line.
 var linePattern = regexp.MustCompile(`^\s*(-?\d+\.\d+)\s*s?\s+(\S+?):?\s+(.*)$`)
 
-// versionPattern finds the version of a configuration that has come into force.
+// versionPattern matches the version of a configuration that has come into force.
 var versionPattern = regexp.MustCompile(`"version":(\d+)`)
 
-// tookPattern finds how long the links of an entry box have taken.
+// tookPattern matches how long an entry box took to link to its share of the gates.
 var tookPattern = regexp.MustCompile(`"tookMS":(\d+)`)
 
-// Lines of our processes that tell of news.
+// Messages of the log lines that are evaluated.
 const (
 	lineInForce = "Configuration in force."
 	lineLinked  = "Share of the gates is linked."
 )
 
-// readReach reads a log.
-func readReach(r io.Reader) (reach, error) {
-	all := reach{}
+// readArrivals reads the arrivals from a log.
+func readArrivals(r io.Reader) (arrivals, error) {
+	all := arrivals{}
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -59,8 +58,9 @@
 	return all, lines.Err()
 }
 
-// table prints how long each thing took to reach the middle box, 99 of 100, and the last.
-func (r reach) table() string {
+// table returns a table of the median, the 99th percentile and the maximum of each event's
+// times. Those of a configuration count from the first box that has it.
+func (r arrivals) table() string {
 	var b strings.Builder
 	b.WriteString("| what | boxes | middle, s | 99 of 100, s | last, s |\n|---|---|---|---|---|\n")
 	var names []string
--- a/test/kinddays/main.go
+++ b/test/kinddays/main.go
@@ -1,17 +1,17 @@
-// Command kinddays writes days for the users' bench: each kind of trouble with each
-// of its variants alone at its default strength, twice, the second time 3 s after the
-// first has ended. docs/MEASUREMENT.md has the table that they give.
+// Command kinddays writes day files for the users' bench, one for each variant of each
+// kind of trouble. The trouble occurs twice, at its default strength, the second time 3 s
+// after the end of the first. docs/MEASUREMENT.md has a table of the results.
 //
 //	go run ./test/kinddays -out DIR
 //
-// With -long N it writes N long days in place of these: random troubles of
-// all kinds that overlap, and a change of the configuration each second. They are
-// played on a copy of a site file whose length_s is 72.
+// With -long N it writes N long days instead: random, overlapping troubles of all kinds
+// and a change of the configuration each second. They need a copy of a site file with
+// length_s = 72.
 //
 //	go run ./test/kinddays -out DIR -long 40 -seed 1
 //
-// With -evacuate N it writes N days with evacuations among random troubles. These, and
-// the kinds that strike a failure domain, take the domains of the site:
+// With -evacuate N it writes N days with evacuations among random troubles. These days,
+// and the kinds that strike a failure domain, need the names of the site's domains:
 //
 //	go run ./test/kinddays -out DIR -evacuate 40 -zones lhr-a,lhr-b,lhr-c
 //
@@ -30,20 +30,20 @@
 
 // Times of a day, in seconds.
 const (
-	firstAt = 4
-	lasts   = 5
-	pause   = 3
+	firstAt  = 4
+	duration = 5
+	pause    = 3
 )
 
-// kind is a kind of trouble with its variants; "" is the plain one.
+// kind is a kind of trouble with its variants; "" is the default one.
 type kind struct {
 	name     string
 	planned  bool
 	variants []string
-	// healthOnly says that it comes only where the contract "health" is open.
+	// healthOnly marks kinds that occur only where the contract "health" is open.
 	healthOnly bool
-	// inZone says that it names the failure domain that it strikes.
-	inZone bool
+	// inDomain marks kinds whose entries name a failure domain.
+	inDomain bool
 }
 
 var kinds = []kind{
@@ -119,7 +119,7 @@
 	}
 	all := kinds
 	if len(zones) > 0 {
-		all = append(slices.Clone(kinds), placesKinds...)
+		all = append(slices.Clone(kinds), domainKinds...)
 	}
 	for i, k := range all {
 		for _, v := range k.variants {
@@ -129,22 +129,22 @@
 	}
 }
 
-// write writes the file of a day.
+// write writes a day to a file in a folder.
 func write(folder, name, day string) {
 	if err := os.WriteFile(filepath.Join(folder, name+".toml"), []byte(day), 0o644); err != nil {
 		log.Fatal(err)
 	}
 }
 
-// day returns the file of a day.
+// day returns the file of a day on which the variant occurs twice.
 func (k kind) day(name, variant string, number int, zones []string) string {
 	var troubles strings.Builder
-	for _, at := range []int{firstAt, firstAt + lasts + pause} {
-		fmt.Fprintf(&troubles, "  { kind = %q, at = %d.0, for_s = %d.0", k.name, at, lasts)
+	for _, at := range []int{firstAt, firstAt + duration + pause} {
+		fmt.Fprintf(&troubles, "  { kind = %q, at = %d.0, for_s = %d.0", k.name, at, duration)
 		if variant != "" {
 			fmt.Fprintf(&troubles, ", how = %q", variant)
 		}
-		if k.inZone {
+		if k.inDomain {
 			fmt.Fprintf(&troubles, ", zone = %q", zones[0])
 		}
 		troubles.WriteString(" },\n")
@@ -156,7 +156,7 @@
 	return dayFile("kind-"+name, uint64(9000+number), planned, faults)
 }
 
-// dayFile returns the text of a day with its entries, a line each.
+// dayFile returns the text of a day file; planned and faults hold an entry per line.
 func dayFile(name string, seed uint64, planned, faults string) string {
 	return fmt.Sprintf(`# Written by test/kinddays.
 [[day]]
