--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -27,7 +27,7 @@
 	entries, agents, slots int
 	// proxies puts a proxy before every entry box, agent and target.
 	proxies bool
-	// declaration is applied before the agents start; declare by default.
+	// declaration is applied before the agents start; it defaults to declaration("").
 	declaration string
 	// agentArgs and entryArgs are added to the commands.
 	agentArgs, entryArgs []string
--- a/test/soak_long_test.go
+++ b/test/soak_long_test.go
@@ -29,7 +29,7 @@
 	longResend = 1300 * time.Millisecond
 	// longDeadline is how long a caller waits for the end of a job with long tasks.
 	longDeadline = 15 * time.Second
-	// minLong and mostLong bound a long task's duration, which exceeds the bounds of
+	// minLong and maxLong bound a long task's duration, which exceeds the bounds of
 	// contact and lease.
 	minLong = 2 * time.Second
 	maxLong = 8 * time.Second
--- a/test/soak_trace_test.go
+++ b/test/soak_trace_test.go
@@ -16,8 +16,8 @@
 const traceGap = 250 * time.Millisecond
 
 // trace logs what led to a run that must not have started: the caller's calls, the orders
-// to the first run's target that concern that run or its lease, and the first orders to
-// the second run's life of a target, if it is another.
+// to the first run's target that concern that run or its lease, and, if the second run was
+// at another target or life, the first orders there.
 func (r *soakRun) trace(j *soakJob, first, second standin.Span) {
 	for _, line := range j.callLog {
 		r.t.Logf("caller of %s: %s", j.id, line)
