--- a/gate/candidate.go
+++ b/gate/candidate.go
@@ -15,21 +15,21 @@
 // fenceFormerIncarnation.
 func (g *Gate) addCandidate(now Time, b Heartbeat) Actions {
 	g.storeCandidate(now, b)
-	if g.current.named() && b.Life.ID != g.current.ID {
+	if g.current.named() && b.Incarnation.ID != g.current.ID {
 		return Actions{HoldNow: true}
 	}
 	if g.fence != 0 {
 		g.raiseFence()
 	}
 	// If another incarnation answers, acknowledgements would make it drop its own ends.
-	g.Doubt(now)
-	return Actions{HoldAfresh: true}
+	g.SuspectRestart(now)
+	return Actions{ReplaceHolds: true}
 }
 
 // storeCandidate keeps the newest heartbeat of each unknown incarnation.
 func (g *Gate) storeCandidate(now Time, b Heartbeat) {
 	for i, c := range g.candidates {
-		if c.Life != b.Life {
+		if c.Incarnation != b.Incarnation {
 			continue
 		}
 		if b.Sequence < c.Sequence {
@@ -50,7 +50,7 @@
 // drains. That heartbeat was acknowledged, so it has to count.
 func (g *Gate) candidateDraining() bool {
 	for _, c := range g.candidates {
-		if c.Draining && c.Life.ID == g.current.ID {
+		if c.Draining && c.Incarnation.ID == g.current.ID {
 			return true
 		}
 	}
@@ -73,8 +73,8 @@
 func (g *Gate) confirmCandidate() {
 	for i := len(g.candidates) - 1; i >= 0; i-- {
 		c := g.candidates[i]
-		if c.Life == g.current || g.identifies(c.Life) && g.current.Born != 0 {
-			g.current = c.Life
+		if c.Incarnation == g.current || g.identifies(c.Incarnation) && g.current.Born != 0 {
+			g.current = c.Incarnation
 			g.applyHeartbeat(c.Heartbeat)
 			break
 		}
@@ -88,7 +88,7 @@
 	candidates := g.candidates
 	g.candidates = nil
 	for i := len(candidates) - 1; i >= 0; i-- {
-		if c := candidates[i]; !g.endedIncarnations[c.Life] && (id == "" || id == c.Life.ID) {
+		if c := candidates[i]; !g.endedIncarnations[c.Incarnation] && (id == "" || id == c.Incarnation.ID) {
 			a, _ := g.OnHeartbeat(now, c.Heartbeat)
 			return a
 		}
--- a/gate/driver.go
+++ b/gate/driver.go
@@ -18,7 +18,7 @@
 
 // Driver carries out the calls that a Gate decides on.
 type Driver struct {
-	target  Executor
+	target  Target
 	started time.Time
 	log     logr.Logger
 	// holdRequests wakes the hold loop.
@@ -36,7 +36,7 @@
 }
 
 // NewDriver returns a driver of a gate; ctx cancels its calls.
-func NewDriver(ctx context.Context, g *Gate, e Executor, log logr.Logger) *Driver {
+func NewDriver(ctx context.Context, g *Gate, e Target, log logr.Logger) *Driver {
 	return &Driver{target: e, started: time.Now(), log: log, holdRequests: make(chan struct{}, 1), described: make(chan Description, 1), ctx: ctx, gate: g}
 }
 
@@ -65,15 +65,15 @@
 
 func (d *Driver) carryOut(a Actions) {
 	for _, c := range a.Starts {
-		go d.start(a.Life, c)
+		go d.start(a.Incarnation, c)
 	}
 	for _, c := range a.Stops {
-		go d.stop(a.Life, c)
+		go d.stop(a.Incarnation, c)
 	}
-	if a.HoldAfresh {
+	if a.ReplaceHolds {
 		d.replaceHolds.Store(true)
 	}
-	if a.HoldNow || a.HoldAfresh {
+	if a.HoldNow || a.ReplaceHolds {
 		d.requestHold()
 	}
 }
@@ -85,7 +85,7 @@
 	}
 }
 
-func (d *Driver) start(incarnation Life, c StartCall) {
+func (d *Driver) start(incarnation Incarnation, c StartCall) {
 	call := newRetriedCall(&d.rto, func(ctx context.Context) (Answer, error) { return d.target.Start(ctx, incarnation, c) })
 	ans, err := call.run(d.ctx)
 	if err != nil {
@@ -99,7 +99,7 @@
 	})
 }
 
-func (d *Driver) stop(incarnation Life, c StopCall) {
+func (d *Driver) stop(incarnation Incarnation, c StopCall) {
 	call := newRetriedCall(&d.rto, func(ctx context.Context) (Answer, error) { return d.target.Stop(ctx, incarnation, c) })
 	ans, err := call.run(d.ctx)
 	d.do(func(now Time, g *Gate) Actions { return g.OnStop(now, incarnation, c, ans, err) })
@@ -128,16 +128,16 @@
 func (d *Driver) doubt() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.gate.Doubt(d.now())
+	d.gate.SuspectRestart(d.now())
 }
 
 // hold sends a hold and processes its answer unless it was abandoned meanwhile.
 func (d *Driver) hold(ctx context.Context, h Hold, abandoned func() bool) error {
-	ans, lists, err := d.target.Hold(ctx, h.Life, h.Call)
+	ans, lists, err := d.target.Hold(ctx, h.Incarnation, h.Call)
 	if abandoned() {
 		return ErrUnanswered
 	}
-	if ctx.Err() != nil && errors.Is(err, ErrUnreached) {
+	if ctx.Err() != nil && errors.Is(err, ErrUnreachable) {
 		// The call was cancelled; the connection was not refused.
 		err = ErrUnanswered
 	}
@@ -168,7 +168,7 @@
 		return failurePause
 	case err != nil, !d.gate.Confirmed():
 		return d.gate.pauseAfterFailure(d.now())
-	case d.gate.Unnoted():
+	case d.gate.HasUnacknowledged():
 		return unacknowledgedPause
 	}
 	return 0
@@ -203,7 +203,7 @@
 	if ok {
 		d.log.Info("Queued runs do not start.", "waiting", s.Waiting, "runs", s.Runs, "listed", s.Listed, "seen", s.Seen,
 			"usedCPU", s.Used.CPU, "capacityCPU", s.Capacity.CPU, "suspect", s.Suspect, "lapsing", s.Lapsing, "oldest", s.Oldest.String(),
-			"nextJob", s.Next.Name.Job, "nextIndex", s.Next.Name.Index, "nextRun", s.Next.Name.Run, "nextEnd", int(s.Next.End), "nextOwner", s.NextOwner, "nextNoted", s.NextNoted)
+			"nextJob", s.Next.Name.Job, "nextIndex", s.Next.Name.Index, "nextRun", s.Next.Name.Run, "nextEnd", int(s.Next.End), "nextOwner", s.NextOwner, "nextNoted", s.NextAcknowledged)
 	}
 }
 
@@ -233,13 +233,13 @@
 // Described returns the channel on which new descriptions of the target are delivered.
 func (d *Driver) Described() <-chan Description { return d.described }
 
-// Recall provides the description stored by an earlier process; see Gate.Recall.
-func (d *Driver) Recall(known Description) {
-	d.do(func(_ Time, g *Gate) Actions { return g.Recall(known) })
+// RestoreDescription provides the description stored by an earlier process; see Gate.RestoreDescription.
+func (d *Driver) RestoreDescription(known Description) {
+	d.do(func(_ Time, g *Gate) Actions { return g.RestoreDescription(known) })
 }
 
 // Deregister processes a deregistration of the target; see Gate.OnDeregister.
-func (d *Driver) Deregister(incarnation Life) {
+func (d *Driver) Deregister(incarnation Incarnation) {
 	d.do(func(now Time, g *Gate) Actions { return g.OnDeregister(now, incarnation) })
 }
 
@@ -333,9 +333,9 @@
 // Now returns the time on the gate's clock.
 func (d *Driver) Now() Time { return d.now() }
 
-// TakeEvacuations processes news of evacuations; see Gate.TakeEvacuations.
-func (d *Driver) TakeEvacuations(n evacuation.News) {
-	d.do(func(now Time, g *Gate) Actions { return g.TakeEvacuations(now, n) })
+// UpdateEvacuations processes news of evacuations; see Gate.UpdateEvacuations.
+func (d *Driver) UpdateEvacuations(n evacuation.News) {
+	d.do(func(now Time, g *Gate) Actions { return g.UpdateEvacuations(now, n) })
 }
 
 // EvacuationsAge returns the age of the newest news of evacuations; see Gate.EvacuationsAge.
--- a/gate/driver_test.go
+++ b/gate/driver_test.go
@@ -22,20 +22,20 @@
 }
 
 func (e *hangingTarget) answer() Answer {
-	return Answer{ClockMS: e.clock.Add(1), Life: testIncarnation}
+	return Answer{ClockMS: e.clock.Add(1), Incarnation: testIncarnation}
 }
 
-func (e *hangingTarget) Start(_ context.Context, _ Life, c StartCall) (Answer, error) {
+func (e *hangingTarget) Start(_ context.Context, _ Incarnation, c StartCall) (Answer, error) {
 	e.run.Store(c.Name)
 	e.ended.Store(true)
 	return e.answer(), nil
 }
 
-func (e *hangingTarget) Stop(context.Context, Life, StopCall) (Answer, error) {
+func (e *hangingTarget) Stop(context.Context, Incarnation, StopCall) (Answer, error) {
 	return e.answer(), nil
 }
 
-func (e *hangingTarget) Hold(_ context.Context, _ Life, c HoldCall) (Answer, HoldAnswer, error) {
+func (e *hangingTarget) Hold(_ context.Context, _ Incarnation, c HoldCall) (Answer, HoldAnswer, error) {
 	if e.ended.Load() && e.hung.CompareAndSwap(false, true) {
 		<-e.release
 		return Answer{}, HoldAnswer{}, ErrUnanswered
@@ -55,7 +55,7 @@
 	g := New(Options{Node: "gate-1", Lease: time.Second, Contact: time.Minute, BestEffortContact: time.Minute})
 	d := NewDriver(ctx, g, e, logr.Discard())
 	go d.Run(ctx)
-	d.Heartbeat(Heartbeat{Life: testIncarnation, Service: "engine", Capacity: job.Resources{CPU: 1000}, Sequence: 1})
+	d.Heartbeat(Heartbeat{Incarnation: testIncarnation, Service: "engine", Capacity: job.Resources{CPU: 1000}, Sequence: 1})
 	wake := make(chan struct{}, 1)
 	until := time.Now().Add(30 * time.Second)
 	for !d.Connect(testOwner, 1, func() {
@@ -67,7 +67,7 @@
 		<-time.After(time.Millisecond)
 	}
 	name := testRun("aa", 0, 1)
-	d.Frame(testOwner, 1, OwnerFrame{Echo: time.Hour, KeptEcho: time.Hour, Sequence: 1, Starts: []Order{{Name: name, Need: job.Resources{CPU: 1}}}})
+	d.Frame(testOwner, 1, OwnerFrame{Echo: time.Hour, DurableEcho: time.Hour, Sequence: 1, Starts: []Order{{Name: name, Need: job.Resources{CPU: 1}}}})
 	for time.Now().Before(until) {
 		f, _ := d.Flush(testOwner, 1)
 		for _, s := range f.States {
--- a/gate/evacuation.go
+++ b/gate/evacuation.go
@@ -6,7 +6,7 @@
 	"rackspur/evacuation"
 )
 
-// TakeEvacuations processes news of evacuations, with AsOf on the gate's clock. While its own
+// UpdateEvacuations processes news of evacuations, with AsOf on the gate's clock. While its own
 // failure domain is evacuated, the gate is closed: it starts nothing and returns queued runs to
 // their owners, while active runs continue to their end.
 //
@@ -17,7 +17,7 @@
 // Outdated news does not close the gate. While the store is unreachable, no evacuation can be
 // acknowledged either, and closing would take the target out of service in every outage. The
 // gate's process polls the store before its news gets that old.
-func (g *Gate) TakeEvacuations(now Time, n evacuation.News) Actions {
+func (g *Gate) UpdateEvacuations(now Time, n evacuation.News) Actions {
 	if !n.Known() {
 		return Actions{}
 	}
@@ -38,7 +38,7 @@
 	if g.evacuated() {
 		return EventEvacuated
 	}
-	return EventTakenBack
+	return EventRevoked
 }
 
 // EvacuationsAge returns an upper bound of the age of the newest news of evacuations, and
--- a/gate/evacuation_test.go
+++ b/gate/evacuation_test.go
@@ -18,7 +18,7 @@
 
 // news tells the gate which domains are evacuated as of a version of the store.
 func (b *bench) news(version uint64, domains ...string) Actions {
-	return b.gate.TakeEvacuations(b.now, evacuation.News{Domains: domains, Version: version, AsOf: b.now})
+	return b.gate.UpdateEvacuations(b.now, evacuation.News{Domains: domains, Version: version, AsOf: b.now})
 }
 
 // rejected returns the reasons for runs returned to the owner since its last frame.
@@ -90,7 +90,7 @@
 		{"evacuated again", evacuation.News{Domains: []string{testDomain}, Version: 9}, false},
 	}
 	for _, step := range steps {
-		b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, KeptEcho: b.now, Evacuations: step.news})
+		b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, DurableEcho: b.now, Evacuations: step.news})
 		if got := b.gate.Open(b.now); got != step.open {
 			t.Errorf("%s: open %v, want %v", step.name, got, step.open)
 		}
@@ -102,14 +102,14 @@
 	b := newEvacuationBench(t)
 	order := Order{Name: testRun("j1", 0, 1), Spec: "s", BestEffort: true}
 	a, _ := b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{
-		Echo: b.now, KeptEcho: b.now, Starts: []Order{order}, Evacuations: evacuation.News{Domains: []string{testDomain}, Version: 7},
+		Echo: b.now, DurableEcho: b.now, Starts: []Order{order}, Evacuations: evacuation.News{Domains: []string{testDomain}, Version: 7},
 	})
 	if len(a.Starts) != 0 {
 		t.Error("an order was carried out that came with the news of the evacuation")
 	}
 	order.Name.Run = 2
 	a, _ = b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{
-		Echo: b.now, KeptEcho: b.now, Starts: []Order{order}, Evacuations: evacuation.News{Version: 8},
+		Echo: b.now, DurableEcho: b.now, Starts: []Order{order}, Evacuations: evacuation.News{Version: 8},
 	})
 	if len(a.Starts) != 1 {
 		t.Error("an order was not carried out that came with the end of the evacuation")
@@ -121,7 +121,7 @@
 	b := newEvacuationBench(t)
 	b.news(5, testDomain)
 	b.gate.OnDeregister(b.now, testIncarnation)
-	b.heartbeat(Life{ID: "i-2"}, false)
+	b.heartbeat(Incarnation{ID: "i-2"}, false)
 	b.hold(HoldAnswer{})
 	b.hold(HoldAnswer{})
 	if a := b.order(false, testRun("j1", 0, 1)); len(a.Starts) != 0 || b.gate.Open(b.now) {
@@ -137,11 +137,11 @@
 func TestEvacuationEvents(t *testing.T) {
 	b := newEvacuationBench(t)
 	b.gate.TakeEvents()
-	b.gate.TakeEvacuations(b.now, evacuation.News{Domains: []string{testDomain}, Version: 5, AsOf: b.now - 40*time.Millisecond})
+	b.gate.UpdateEvacuations(b.now, evacuation.News{Domains: []string{testDomain}, Version: 5, AsOf: b.now - 40*time.Millisecond})
 	b.news(6, testDomain)
 	b.news(7)
 	events := b.gate.TakeEvents()
-	if len(events) != 2 || events[0].Kind != EventEvacuated || events[0].NewsAge != 40*time.Millisecond || events[1].Kind != EventTakenBack {
+	if len(events) != 2 || events[0].Kind != EventEvacuated || events[0].NewsAge != 40*time.Millisecond || events[1].Kind != EventRevoked {
 		t.Errorf("events %+v", events)
 	}
 }
--- a/gate/event.go
+++ b/gate/event.go
@@ -19,16 +19,16 @@
 	EventClaimed
 	// EventEvacuated: the gate's failure domain was evacuated. It refers to no run.
 	EventEvacuated
-	// EventTakenBack: the evacuation was revoked. It refers to no run.
-	EventTakenBack
+	// EventRevoked: the evacuation was revoked. It refers to no run.
+	EventRevoked
 	// EventLost: an active run counts as over although the target has not listed its end.
 	EventLost
-	// EventListsPassedOver: lists of the target were skipped because newer ones were processed
+	// EventListsSkipped: lists of the target were skipped because newer ones were processed
 	// before. It refers to no run.
-	EventListsPassedOver
-	// EventHeartbeatPassedOver: a heartbeat was skipped because it is outdated, does not
+	EventListsSkipped
+	// EventHeartbeatSkipped: a heartbeat was skipped because it is outdated, does not
 	// identify its incarnation or names another service. It refers to no run.
-	EventHeartbeatPassedOver
+	EventHeartbeatSkipped
 	// EventRestart: the target has restarted under its id. It refers to no run.
 	EventRestart
 )
@@ -48,16 +48,16 @@
 	NewsAge time.Duration
 	// Cause is why a run counts as over.
 	Cause string
-	// Passed describes a skipped message.
-	Passed PassedOver
-	// Life is the target's new incarnation, Former the previous one, and AtWork the number of
+	// Skipped describes a skipped message.
+	Skipped SkippedMessage
+	// Incarnation is the target's new incarnation, Former the previous one, and AtWork the number of
 	// runs that were active at the restart.
-	Life, Former Life
-	AtWork       int
+	Incarnation, Former Incarnation
+	ActiveRuns          int
 }
 
-// PassedOver describes a message of the target that was skipped.
-type PassedOver struct {
+// SkippedMessage describes a message of the target that was skipped.
+type SkippedMessage struct {
 	// Got and Newest are the values that were compared: the target's clock in milliseconds for
 	// lists, the sequence number for heartbeats.
 	Got, Newest int64
@@ -69,10 +69,10 @@
 
 // Counts holds the gate's counters for metrics.
 type Counts struct {
-	ListsPassedOver      int64
-	HeartbeatsPassedOver int64
-	RunsLost             int64
-	Restarts             int64
+	ListsSkipped      int64
+	HeartbeatsSkipped int64
+	RunsLost          int64
+	Restarts          int64
 }
 
 // Counts returns the counters.
@@ -101,37 +101,37 @@
 }
 
 // recordSkipped records an event about a skipped message if one is due.
-func (g *Gate) recordSkipped(now Time, kind EventKind, l *skippedLog, p PassedOver) {
+func (g *Gate) recordSkipped(now Time, kind EventKind, l *skippedLog, p SkippedMessage) {
 	times, due := l.take(now)
 	if !due || len(g.events) >= maxEvents {
 		return
 	}
 	p.Times = times
-	g.events = append(g.events, Event{Kind: kind, Passed: p, LeaseLeft: g.leaseLeft(now)})
+	g.events = append(g.events, Event{Kind: kind, Skipped: p, LeaseLeft: g.leaseLeft(now)})
 }
 
 // skipHeartbeat counts a skipped heartbeat.
 func (g *Gate) skipHeartbeat(now Time, b Heartbeat) {
-	g.counts.HeartbeatsPassedOver++
-	g.recordSkipped(now, EventHeartbeatPassedOver, &g.heartbeatsSkipped, PassedOver{Got: b.Sequence, Newest: g.sequence, Draining: b.Draining})
+	g.counts.HeartbeatsSkipped++
+	g.recordSkipped(now, EventHeartbeatSkipped, &g.heartbeatsSkipped, SkippedMessage{Got: b.Sequence, Newest: g.sequence, Draining: b.Draining})
 }
 
 // skipLists counts skipped lists.
 func (g *Gate) skipLists(now Time, a Answer) {
-	g.counts.ListsPassedOver++
-	g.recordSkipped(now, EventListsPassedOver, &g.listsSkipped, PassedOver{Got: a.ClockMS, Newest: g.listedMS})
+	g.counts.ListsSkipped++
+	g.recordSkipped(now, EventListsSkipped, &g.listsSkipped, SkippedMessage{Got: a.ClockMS, Newest: g.listedMS})
 }
 
 // recordRestart counts a restart of the target under its id and records an event.
-func (g *Gate) recordRestart(now Time, incarnation Life) {
+func (g *Gate) recordRestart(now Time, incarnation Incarnation) {
 	g.counts.Restarts++
 	if len(g.events) >= maxEvents {
 		return
 	}
-	e := Event{Kind: EventRestart, Life: incarnation, Former: g.current}
+	e := Event{Kind: EventRestart, Incarnation: incarnation, Former: g.current}
 	for _, r := range g.runs {
 		if r.active() {
-			e.AtWork++
+			e.ActiveRuns++
 		}
 	}
 	g.events = append(g.events, e)
--- a/gate/eventlog.go
+++ b/gate/eventlog.go
@@ -9,12 +9,12 @@
 	EventClaimed: "Run of an earlier process was claimed.",
 
 	EventEvacuated: "Failure domain was evacuated; no more runs are started.",
-	EventTakenBack: "Evacuation was revoked.",
+	EventRevoked:   "Evacuation was revoked.",
 
-	EventLost:                "Run counted as lost.",
-	EventListsPassedOver:     "Skipped outdated lists of the target.",
-	EventHeartbeatPassedOver: "Skipped a heartbeat.",
-	EventRestart:             "Target has restarted.",
+	EventLost:             "Run counted as lost.",
+	EventListsSkipped:     "Skipped outdated lists of the target.",
+	EventHeartbeatSkipped: "Skipped a heartbeat.",
+	EventRestart:          "Target has restarted.",
 }
 
 // logEvents writes a log line for each event.
@@ -27,14 +27,14 @@
 func (d *Driver) logEvent(e Event) {
 	message := eventMessages[e.Kind]
 	switch e.Kind {
-	case EventEvacuated, EventTakenBack:
+	case EventEvacuated, EventRevoked:
 		d.log.Info(message, "newsAgeMS", e.NewsAge.Milliseconds())
-	case EventListsPassedOver:
-		d.log.Info(message, "clockMS", e.Passed.Got, "newestMS", e.Passed.Newest, "times", e.Passed.Times, "leaseLeftMS", e.LeaseLeft.Milliseconds())
-	case EventHeartbeatPassedOver:
-		d.log.Info(message, "sequence", e.Passed.Got, "newest", e.Passed.Newest, "draining", e.Passed.Draining, "times", e.Passed.Times)
+	case EventListsSkipped:
+		d.log.Info(message, "clockMS", e.Skipped.Got, "newestMS", e.Skipped.Newest, "times", e.Skipped.Times, "leaseLeftMS", e.LeaseLeft.Milliseconds())
+	case EventHeartbeatSkipped:
+		d.log.Info(message, "sequence", e.Skipped.Got, "newest", e.Skipped.Newest, "draining", e.Skipped.Draining, "times", e.Skipped.Times)
 	case EventRestart:
-		d.log.Info(message, "id", e.Life.ID, "born", e.Life.Born, "formerBorn", e.Former.Born, "atWork", e.AtWork)
+		d.log.Info(message, "id", e.Incarnation.ID, "born", e.Incarnation.Born, "formerBorn", e.Former.Born, "atWork", e.ActiveRuns)
 	case EventLost:
 		d.log.Info(message, "job", e.Run.Job, "step", e.Run.Step, "index", e.Run.Index, "run", e.Run.Run, "owner", e.Owner,
 			"cause", e.Cause, "leaseLeftMS", e.LeaseLeft.Milliseconds())
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -148,7 +148,7 @@
 	ordered bool
 	// lateOrdersUntil is until when unanswered starts may still be carried out.
 	lateOrdersUntil   Time
-	endedIncarnations map[Life]bool
+	endedIncarnations map[Incarnation]bool
 	// candidates holds the newest heartbeat of each incarnation other than the current one.
 	candidates []candidate
 	// recalled is the target's description as stored by an earlier process; published is the
@@ -195,24 +195,24 @@
 	return &Gate{
 		options:           o,
 		fenceStep:         minFenceStep,
-		endedIncarnations: map[Life]bool{},
+		endedIncarnations: map[Incarnation]bool{},
 		runs:              map[job.RunName]*run{},
 		owners:            map[string]*ownerState{},
 		adopted:           map[string]string{},
-		incarnationState:  newIncarnationState(Life{}, 0),
+		incarnationState:  newIncarnationState(Incarnation{}, 0),
 	}
 }
 
 // Actions are the calls to the target that result from an event.
 type Actions struct {
-	Life   Life
-	Starts []StartCall
-	Stops  []StopCall
+	Incarnation Incarnation
+	Starts      []StartCall
+	Stops       []StopCall
 	// HoldNow requests a hold immediately.
 	HoldNow bool
-	// HoldAfresh requests a hold over a new connection that replaces those in flight, which may
+	// ReplaceHolds requests a hold over a new connection that replaces those in flight, which may
 	// be waiting for an incarnation that has ended.
-	HoldAfresh bool
+	ReplaceHolds bool
 }
 
 // Leave closes the gate for good, because its process shuts down.
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -22,9 +22,9 @@
 
 // Incarnations of a target that takes a new id with each start.
 var (
-	testIncarnation  = Life{ID: "i-1"}
-	olderIncarnation = Life{ID: "older"}
-	newerIncarnation = Life{ID: "newer"}
+	testIncarnation  = Incarnation{ID: "i-1"}
+	olderIncarnation = Incarnation{ID: "older"}
+	newerIncarnation = Incarnation{ID: "newer"}
 )
 
 func newBench(t *testing.T) *bench {
@@ -39,9 +39,9 @@
 
 func (b *bench) targetClock() int64 { return b.clock + b.now.Milliseconds() }
 
-func (b *bench) heartbeat(incarnation Life, draining bool) {
+func (b *bench) heartbeat(incarnation Incarnation, draining bool) {
 	b.gate.OnHeartbeat(b.now, Heartbeat{
-		Life: incarnation, Service: "engine", Capacity: job.Resources{CPU: 16000, Memory: 32768},
+		Incarnation: incarnation, Service: "engine", Capacity: job.Resources{CPU: 16000, Memory: 32768},
 		Draining: draining, ClockMS: b.targetClock(), Sequence: b.now.Milliseconds(),
 	})
 }
@@ -50,7 +50,7 @@
 func (b *bench) hold(lists HoldAnswer) (Hold, Actions) {
 	h := b.gate.NextHold(b.now, 0)
 	b.now += time.Millisecond
-	return h, b.gate.OnHold(b.now, h, Answer{ClockMS: b.targetClock(), Life: b.gate.current}, lists, nil)
+	return h, b.gate.OnHold(b.now, h, Answer{ClockMS: b.targetClock(), Incarnation: b.gate.current}, lists, nil)
 }
 
 func testRun(id job.ID, index, run int) job.RunName {
@@ -60,7 +60,7 @@
 // order sends starts of the owner and returns the resulting actions.
 func (b *bench) order(kept bool, names ...job.RunName) Actions {
 	b.t.Helper()
-	f := OwnerFrame{Echo: b.now, KeptEcho: b.now, Sequence: 1}
+	f := OwnerFrame{Echo: b.now, DurableEcho: b.now, Sequence: 1}
 	for _, n := range names {
 		f.Starts = append(f.Starts, Order{Name: n, Spec: "s", Need: job.Resources{CPU: 1600, Memory: 64}, Estimate: 100 * time.Millisecond, BestEffort: !kept})
 	}
@@ -73,14 +73,14 @@
 
 // verdict sends the owner's verdict on a run.
 func (b *bench) verdict(name job.RunName, kind VerdictKind) Actions {
-	a, _ := b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, KeptEcho: b.now, Verdicts: []Verdict{{Name: name, Kind: kind}}})
+	a, _ := b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, DurableEcho: b.now, Verdicts: []Verdict{{Name: name, Kind: kind}}})
 	return a
 }
 
 // started answers all starts with success.
 func (b *bench) started(a Actions) {
 	for _, c := range a.Starts {
-		b.gate.OnStart(b.now, a.Life, c, Answer{ClockMS: b.targetClock()}, nil)
+		b.gate.OnStart(b.now, a.Incarnation, c, Answer{ClockMS: b.targetClock()}, nil)
 	}
 }
 
@@ -148,7 +148,7 @@
 	if s := b.states()[found]; s.End != EndDone {
 		t.Errorf("state %+v after the claim, want done", s)
 	}
-	b.verdict(found, VerdictNote)
+	b.verdict(found, VerdictAcknowledge)
 	if b.gate.seen != 1 {
 		t.Errorf("acknowledged up to %d, want 1", b.gate.seen)
 	}
@@ -165,7 +165,7 @@
 	if s := b.states()[found]; s.End != EndDone {
 		t.Fatalf("state %+v, want the end reported", s)
 	}
-	b.verdict(found, VerdictNote)
+	b.verdict(found, VerdictAcknowledge)
 	if b.gate.seen != 1 {
 		t.Errorf("acknowledged up to %d, want 1", b.gate.seen)
 	}
@@ -194,7 +194,7 @@
 	name := testRun("aa", 0, 1)
 	a := b.order(true, name)
 	b.now += 60 * time.Millisecond
-	b.gate.OnStart(b.now, a.Life, a.Starts[0], Answer{}, ErrUnanswered)
+	b.gate.OnStart(b.now, a.Incarnation, a.Starts[0], Answer{}, ErrUnanswered)
 	b.now += time.Millisecond
 	_, a = b.hold(HoldAnswer{})
 	if len(a.Stops) != 1 || a.Stops[0].Name != name {
@@ -204,7 +204,7 @@
 	if s := b.states()[name]; s.End != 0 {
 		t.Fatalf("state %+v before the stop was answered", s)
 	}
-	b.gate.OnStop(b.now, a.Life, a.Stops[0], Answer{ClockMS: b.targetClock()}, nil)
+	b.gate.OnStop(b.now, a.Incarnation, a.Stops[0], Answer{ClockMS: b.targetClock()}, nil)
 	b.now += time.Millisecond
 	b.hold(HoldAnswer{})
 	if s := b.states()[name]; s.End != EndRejected {
@@ -220,7 +220,7 @@
 	b := newBench(t)
 	name := testRun("aa", 0, 1)
 	a := b.order(true, name)
-	b.gate.OnStart(b.now, a.Life, a.Starts[0], Answer{}, ErrUnanswered)
+	b.gate.OnStart(b.now, a.Incarnation, a.Starts[0], Answer{}, ErrUnanswered)
 	if _, a = b.hold(HoldAnswer{Running: []Running{{Name: name}}}); len(a.Stops) != 0 {
 		t.Errorf("stopped: %+v", a.Stops)
 	}
@@ -236,10 +236,10 @@
 	name := testRun("aa", 0, 1)
 	b.started(b.order(true, name))
 	old := b.gate.NextHold(b.now, 0)
-	oldAnswer := Answer{ClockMS: b.targetClock(), Life: testIncarnation}
+	oldAnswer := Answer{ClockMS: b.targetClock(), Incarnation: testIncarnation}
 	b.now += 5 * time.Millisecond
 	b.hold(HoldAnswer{Finished: []Ended{{Number: 1, Name: name, Kind: EndDone}}})
-	b.verdict(name, VerdictNote)
+	b.verdict(name, VerdictAcknowledge)
 	if !b.gate.Idle() {
 		t.Fatal("not idle after the end was acknowledged")
 	}
@@ -255,11 +255,11 @@
 	found, next := testRun("aa", 0, 1), testRun("bb", 0, 1)
 	b.hold(HoldAnswer{Running: []Running{{Name: found}}})
 	order := Order{Name: next, Need: job.Resources{CPU: 1600}}
-	a, _ := b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, KeptEcho: b.now, Starts: []Order{order}})
+	a, _ := b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, DurableEcho: b.now, Starts: []Order{order}})
 	if len(a.Starts) != 0 {
 		t.Fatal("started beside a run whose need is not known")
 	}
-	a, _ = b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, KeptEcho: b.now, Verdicts: []Verdict{{Name: found, Kind: VerdictClaim, Need: job.Resources{CPU: 15000}}}})
+	a, _ = b.gate.OnFrame(b.now, testOwner, 1, OwnerFrame{Echo: b.now, DurableEcho: b.now, Verdicts: []Verdict{{Name: found, Kind: VerdictClaim, Need: job.Resources{CPU: 15000}}}})
 	if len(a.Starts) != 0 {
 		t.Fatal("started over the capacity")
 	}
@@ -276,7 +276,7 @@
 	found, next := testRun("aa", 0, 1), testRun("bb", 0, 1)
 	a := b.order(true, next)
 	b.hold(HoldAnswer{Running: []Running{{Name: found}}})
-	a = b.gate.OnStart(b.now, a.Life, a.Starts[0], Answer{ClockMS: b.targetClock()}, ErrNoRoom)
+	a = b.gate.OnStart(b.now, a.Incarnation, a.Starts[0], Answer{ClockMS: b.targetClock()}, ErrNoRoom)
 	if s := b.states()[next]; len(a.Starts) != 0 || s.End != 0 {
 		t.Fatalf("starts %v, state %+v; want it to wait", a.Starts, s)
 	}
@@ -308,7 +308,7 @@
 	if len(f.States) != 1 || f.States[0].End != EndDone {
 		t.Errorf("reported %+v over a new link, want the end", f.States)
 	}
-	b.gate.OnFrame(b.now, testOwner, 2, OwnerFrame{Echo: b.now, Verdicts: []Verdict{{Name: name, Kind: VerdictNote}}})
+	b.gate.OnFrame(b.now, testOwner, 2, OwnerFrame{Echo: b.now, Verdicts: []Verdict{{Name: name, Kind: VerdictAcknowledge}}})
 	if !b.gate.Idle() {
 		t.Error("not forgotten after the owner's verdict")
 	}
@@ -323,7 +323,7 @@
 	if h, _ := b.hold(HoldAnswer{Finished: []Ended{{Number: 1, Name: name, Kind: EndDone}}}); h.Call.Seen != 0 {
 		t.Errorf("acknowledged up to %d before the owner's verdict", h.Call.Seen)
 	}
-	b.verdict(name, VerdictNote)
+	b.verdict(name, VerdictAcknowledge)
 	if h, _ := b.hold(HoldAnswer{}); h.Call.Seen != 1 {
 		t.Errorf("acknowledged up to %d after the owner's verdict, want 1", h.Call.Seen)
 	}
@@ -339,7 +339,7 @@
 	for i := range 6 {
 		names = append(names, testRun("bb", i, 1))
 	}
-	f := OwnerFrame{Echo: b.now, KeptEcho: b.now, Sequence: 1}
+	f := OwnerFrame{Echo: b.now, DurableEcho: b.now, Sequence: 1}
 	for i, n := range names {
 		f.Starts = append(f.Starts, Order{Name: n, Need: job.Resources{CPU: 1600, Memory: 64}, Rank: int64(len(names) - i), BestEffort: true})
 	}
--- a/gate/heartbeat.go
+++ b/gate/heartbeat.go
@@ -6,23 +6,23 @@
 // an incarnation that has ended or can't be identified, or of another service.
 func (g *Gate) OnHeartbeat(now Time, b Heartbeat) (Actions, bool) {
 	switch {
-	case g.endedIncarnations[b.Life]:
+	case g.endedIncarnations[b.Incarnation]:
 		return Actions{}, false
-	case g.current.ambiguous(b.Life), g.namesOtherService(b):
+	case g.current.ambiguous(b.Incarnation), g.namesOtherService(b):
 		g.skipHeartbeat(now, b)
 		return Actions{}, false
-	case b.Life == g.current:
+	case b.Incarnation == g.current:
 		if b.Sequence < g.sequence {
 			g.applyLateHeartbeat(now, b)
 			return Actions{}, true
 		}
-	case g.identifies(b.Life):
-		g.current = b.Life
+	case g.identifies(b.Incarnation):
+		g.current = b.Incarnation
 	case g.currentAnswers(now) || g.mayHaveRuns(now):
 		return g.addCandidate(now, b), true
 	default:
-		sameID := b.Life.ID == g.callID()
-		g.replaceIncarnation(now, b.Life, sameID)
+		sameID := b.Incarnation.ID == g.callID()
+		g.replaceIncarnation(now, b.Incarnation, sameID)
 		if sameID {
 			g.applyHeartbeat(b)
 			return g.fenceFormerIncarnation(now, b.ClockMS), true
@@ -40,7 +40,7 @@
 		g.resetClock(now, clockMS)
 		g.raiseFence()
 	}
-	return Actions{HoldAfresh: true}
+	return Actions{ReplaceHolds: true}
 }
 
 // applyHeartbeat applies a heartbeat of the current incarnation.
@@ -72,7 +72,7 @@
 
 // identifies reports whether a heartbeat's incarnation can be the current one, whose id is not
 // known yet.
-func (g *Gate) identifies(incarnation Life) bool {
+func (g *Gate) identifies(incarnation Incarnation) bool {
 	return !g.current.named() && g.fence != 0 && (g.current.Born == 0 || g.current.Born == incarnation.Born)
 }
 
@@ -80,7 +80,7 @@
 // incarnation. A heartbeat of another one may then be a delayed one of an incarnation that only
 // an earlier process of this gate knew; the answer to the next call decides.
 func (g *Gate) currentAnswers(now Time) bool {
-	return (g.known || g.listedMS != 0) && g.current != Life{} && !g.targetSilent(now)
+	return (g.known || g.listedMS != 0) && g.current != Incarnation{} && !g.targetSilent(now)
 }
 
 // mayHaveRuns reports whether runs of the current incarnation may be active, judging by its
@@ -99,7 +99,7 @@
 
 // OnDeregister handles the deregistration of an incarnation. If it does not identify one, the
 // next call shows whether the target is still there.
-func (g *Gate) OnDeregister(now Time, incarnation Life) Actions {
+func (g *Gate) OnDeregister(now Time, incarnation Incarnation) Actions {
 	if incarnation != g.current {
 		return Actions{HoldNow: g.current.ambiguous(incarnation)}
 	}
--- a/gate/hold.go
+++ b/gate/hold.go
@@ -7,16 +7,16 @@
 
 // Hold is a hold to send, together with the gate's state when it was created.
 type Hold struct {
-	Life Life
-	Call HoldCall
-	sent Time
+	Incarnation Incarnation
+	Call        HoldCall
+	sent        Time
 	// clockProbe marks the first hold, which only reads the target's clock.
 	clockProbe bool
 }
 
 // NextHold returns the hold to send now; wait is how long its answer may be delayed.
 func (g *Gate) NextHold(now Time, wait time.Duration) Hold {
-	h := Hold{Life: g.current, sent: now}
+	h := Hold{Incarnation: g.current, sent: now}
 	if g.fence == 0 {
 		h.clockProbe = true
 		return h
@@ -75,11 +75,11 @@
 
 // OnHold handles the answer to a hold.
 func (g *Gate) OnHold(now Time, h Hold, a Answer, lists HoldAnswer, err error) Actions {
-	if h.Life.ID != g.current.ID {
+	if h.Incarnation.ID != g.current.ID {
 		return Actions{}
 	}
 	if err != nil {
-		if h.Life != g.current {
+		if h.Incarnation != g.current {
 			return Actions{}
 		}
 		g.recordAnswer(now, a, err)
@@ -145,9 +145,9 @@
 		g.onFenced(h.Call.Fence)
 		g.grantedMS = max(g.grantedMS, a.ClockMS+g.options.Lease.Milliseconds())
 		return Actions{HoldNow: true}
-	case errors.Is(err, ErrOtherLife):
+	case errors.Is(err, ErrOtherIncarnation):
 		if g.current.named() {
-			return g.onTurnedAway(now, a.Life.ID)
+			return g.onTurnedAway(now, a.Incarnation.ID)
 		}
 	}
 	return g.Tick(now)
@@ -238,17 +238,17 @@
 	}
 }
 
-// Unnoted reports whether ends wait for their owners' verdicts.
-func (g *Gate) Unnoted() bool {
+// HasUnacknowledged reports whether ends wait for their owners' verdicts.
+func (g *Gate) HasUnacknowledged() bool {
 	return len(g.listed) > 0
 }
 
 // Confirmed reports whether the current incarnation is not in doubt.
 func (g *Gate) Confirmed() bool { return g.confirmed }
 
-// Doubt records that the target may have restarted, for example because a hold is overdue. Only
+// SuspectRestart records that the target may have restarted, for example because a hold is overdue. Only
 // a hold that is sent from now on resolves the doubt.
-func (g *Gate) Doubt(now Time) {
+func (g *Gate) SuspectRestart(now Time) {
 	g.confirmed = false
 	g.confirmedBy = max(g.confirmedBy, now)
 }
--- a/gate/holdload_test.go
+++ b/gate/holdload_test.go
@@ -35,7 +35,7 @@
 
 const neverAnswered = -1
 
-func (x *loadedTarget) Hold(ctx context.Context, _ Life, c HoldCall) (Answer, HoldAnswer, error) {
+func (x *loadedTarget) Hold(ctx context.Context, _ Incarnation, c HoldCall) (Answer, HoldAnswer, error) {
 	number := x.begin()
 	defer x.end()
 	late := x.delay(number)
@@ -140,7 +140,7 @@
 	g := New(Options{Node: "gate-1", Lease: time.Second, Contact: time.Minute, BestEffortContact: time.Minute})
 	d := NewDriver(ctx, g, x, logr.Discard())
 	go d.Run(ctx)
-	d.Heartbeat(Heartbeat{Life: testIncarnation, Service: "engine", Sequence: 1})
+	d.Heartbeat(Heartbeat{Incarnation: testIncarnation, Service: "engine", Sequence: 1})
 	for i := range 400 {
 		wait.For(ctx, 50*time.Millisecond)
 		if requested && i%7 == 0 {
--- a/gate/life.go
+++ b/gate/incarnation.go
@@ -6,10 +6,10 @@
 	"rackspur/job"
 )
 
-// Life identifies one incarnation of the target, from its start to its end. A restarted target
+// Incarnation identifies one incarnation of the target, from its start to its end. A restarted target
 // may keep its id, but all its counters start anew. Incarnations are compared by both fields
 // and by nothing else.
-type Life struct {
+type Incarnation struct {
 	ID string `json:"life"`
 	// Born is when the incarnation began, in Unix milliseconds as reported by the target; 0 for
 	// targets that do not report it, which take a new id with each start.
@@ -17,17 +17,17 @@
 }
 
 // named reports whether the id is known.
-func (l Life) named() bool { return l.ID != "" }
+func (l Incarnation) named() bool { return l.ID != "" }
 
 // ambiguous reports whether other has the same id but does not identify the incarnation.
-func (l Life) ambiguous(other Life) bool {
+func (l Incarnation) ambiguous(other Incarnation) bool {
 	return l.ID == other.ID && l.Born != 0 && other.Born == 0
 }
 
 // incarnationState is the state that belongs to one incarnation of the target and is reset with
 // the next.
 type incarnationState struct {
-	current Life
+	current Incarnation
 	// begun is when the gate learned of the incarnation.
 	begun Time
 	// idConfirmed is set once a hold that named the id was answered.
@@ -80,7 +80,7 @@
 	health  health
 }
 
-func newIncarnationState(incarnation Life, now Time) incarnationState {
+func newIncarnationState(incarnation Incarnation, now Time) incarnationState {
 	return incarnationState{current: incarnation, begun: now, clockAt: now, listed: map[int64]*run{}}
 }
 
@@ -89,7 +89,7 @@
 // another was known is newer than that. An answer to an earlier call may have arrived out of
 // order and proves nothing.
 func (g *Gate) checkAnswerer(now Time, h Hold, a Answer) bool {
-	answered := Life{ID: g.current.ID, Born: a.Life.Born}
+	answered := Incarnation{ID: g.current.ID, Born: a.Incarnation.Born}
 	switch {
 	case answered == g.current:
 		g.idConfirmed = g.current.named()
@@ -111,7 +111,7 @@
 // onRestart handles an answer that shows that the target has restarted under its id. The new
 // incarnation's lists count only once it has answered a call with a higher token than all calls
 // to the previous one, none of which can be carried out from then on.
-func (g *Gate) onRestart(now Time, incarnation Life, clockMS int64) {
+func (g *Gate) onRestart(now Time, incarnation Incarnation, clockMS int64) {
 	g.markEnded(g.current)
 	delete(g.endedIncarnations, incarnation)
 	g.replaceIncarnation(now, incarnation, true)
@@ -129,7 +129,7 @@
 // replaceIncarnation.
 func (g *Gate) endIncarnation(now Time, sameID bool) {
 	over := g.current
-	g.replaceIncarnation(now, Life{}, sameID)
+	g.replaceIncarnation(now, Incarnation{}, sameID)
 	g.markEnded(over)
 	g.reportChanged()
 }
@@ -139,7 +139,7 @@
 const maxEndedIncarnations = 1000
 
 // markEnded records that an incarnation has ended, so that its messages are no longer trusted.
-func (g *Gate) markEnded(incarnation Life) {
+func (g *Gate) markEnded(incarnation Incarnation) {
 	if len(g.endedIncarnations) >= maxEndedIncarnations {
 		clear(g.endedIncarnations)
 	}
@@ -164,7 +164,7 @@
 // forgetID removes the id of the current incarnation and everything reported under it.
 func (g *Gate) forgetID() {
 	g.markEnded(g.current)
-	g.current = Life{Born: g.current.Born}
+	g.current = Incarnation{Born: g.current.Born}
 	g.recalled = Description{}
 	g.known = false
 	g.draining = false
@@ -177,8 +177,8 @@
 // not known yet. sameID says whether the new incarnation has, or may have, the id named by
 // calls to the previous one, so that it may carry out starts meant for that. Active runs then
 // wait for its first lists; otherwise they have ended.
-func (g *Gate) replaceIncarnation(now Time, incarnation Life, sameID bool) {
-	if sameID && incarnation != (Life{}) {
+func (g *Gate) replaceIncarnation(now Time, incarnation Incarnation, sameID bool) {
+	if sameID && incarnation != (Incarnation{}) {
 		g.recordRestart(now, incarnation)
 	}
 	id := g.callID()
--- a/gate/life_test.go
+++ b/gate/incarnation_test.go
@@ -31,7 +31,7 @@
 	}
 	h := b.gate.NextHold(b.now, 0)
 	b.now += time.Millisecond
-	b.gate.OnHold(b.now, h, Answer{}, HoldAnswer{}, ErrOtherLife)
+	b.gate.OnHold(b.now, h, Answer{}, HoldAnswer{}, ErrOtherIncarnation)
 	if b.gate.current != newerIncarnation || !b.gate.known {
 		t.Errorf("incarnation %v, known %v after calls were rejected", b.gate.current, b.gate.known)
 	}
@@ -108,12 +108,12 @@
 }
 
 // holdOf sends the hold that is due, which is answered by a target of the given incarnation.
-func (b *bench) holdOf(incarnation Life) {
+func (b *bench) holdOf(incarnation Incarnation) {
 	h := b.gate.NextHold(b.now, 0)
 	b.now += time.Millisecond
-	answer := Answer{ClockMS: b.targetClock(), Life: incarnation}
-	if h.Life != (Life{}) && h.Life != incarnation {
-		b.gate.OnHold(b.now, h, answer, HoldAnswer{}, ErrOtherLife)
+	answer := Answer{ClockMS: b.targetClock(), Incarnation: incarnation}
+	if h.Incarnation != (Incarnation{}) && h.Incarnation != incarnation {
+		b.gate.OnHold(b.now, h, answer, HoldAnswer{}, ErrOtherIncarnation)
 		return
 	}
 	b.gate.OnHold(b.now, h, answer, HoldAnswer{}, nil)
--- a/gate/leftover_test.go
+++ b/gate/leftover_test.go
@@ -241,13 +241,13 @@
 	}
 	// The target answers again, as the same incarnation.
 	h := b.gate.NextHold(b.now, 0)
-	if h.Life != testIncarnation && h.Life != (Life{}) {
-		b.gate.OnHold(b.now, h, Answer{}, HoldAnswer{}, ErrOtherLife)
+	if h.Incarnation != testIncarnation && h.Incarnation != (Incarnation{}) {
+		b.gate.OnHold(b.now, h, Answer{}, HoldAnswer{}, ErrOtherIncarnation)
 	}
 	for range 3 {
 		h = b.gate.NextHold(b.now, 0)
 		b.now += time.Millisecond
-		b.gate.OnHold(b.now, h, Answer{ClockMS: b.targetClock(), Life: testIncarnation}, runningLists(name), nil)
+		b.gate.OnHold(b.now, h, Answer{ClockMS: b.targetClock(), Incarnation: testIncarnation}, runningLists(name), nil)
 	}
 	b.heartbeat(testIncarnation, false)
 	if !b.open() {
@@ -329,7 +329,7 @@
 	name := testRun("aa", 0, 1)
 	a := b.orderBy(testOwner, b.now, name)
 	b.now += orderTimeout
-	b.gate.OnStart(b.now, a.Life, a.Starts[0], Answer{}, ErrUnanswered)
+	b.gate.OnStart(b.now, a.Incarnation, a.Starts[0], Answer{}, ErrUnanswered)
 	b.now += time.Millisecond
 	if _, a = b.hold(HoldAnswer{}); len(a.Stops) != 1 {
 		t.Fatalf("stops %+v, want one since the start was not answered", a.Stops)
@@ -365,8 +365,8 @@
 	name := testRun("aa", 0, 1)
 	b.started(b.order(true, name))
 	b.gate.Connect(b.now, secondOwner, 1, nil)
-	b.gate.OnFrame(b.now, secondOwner, 1, OwnerFrame{Echo: b.now, KeptEcho: b.now, Sequence: 1, Adopt: []string{testOwner}})
-	a, _ := b.gate.OnFrame(b.now, secondOwner, 1, OwnerFrame{Echo: b.now, KeptEcho: b.now, Sequence: 2, Verdicts: []Verdict{{Name: name, Kind: VerdictForeign}}})
+	b.gate.OnFrame(b.now, secondOwner, 1, OwnerFrame{Echo: b.now, DurableEcho: b.now, Sequence: 1, Adopt: []string{testOwner}})
+	a, _ := b.gate.OnFrame(b.now, secondOwner, 1, OwnerFrame{Echo: b.now, DurableEcho: b.now, Sequence: 2, Verdicts: []Verdict{{Name: name, Kind: VerdictUnknown}}})
 	if len(a.Stops) != 0 {
 		t.Errorf("stopped %+v", a.Stops)
 	}
--- a/gate/name_test.go
+++ b/gate/name_test.go
@@ -15,7 +15,7 @@
 func TestWrongNameEndsNoRuns(t *testing.T) {
 	names := map[string]func(b *bench){
 		"recalled": func(b *bench) {
-			b.gate.Recall(Description{Life: olderIncarnation, Service: "engine", Capacity: job.Resources{CPU: 16000}})
+			b.gate.RestoreDescription(Description{Incarnation: olderIncarnation, Service: "engine", Capacity: job.Resources{CPU: 16000}})
 		},
 		"by a heartbeat that was held up": func(b *bench) { b.heartbeat(olderIncarnation, false) },
 	}
@@ -30,14 +30,14 @@
 			give(b)
 			h := b.gate.NextHold(b.now, 0)
 			b.now += time.Millisecond
-			b.gate.OnHold(b.now, h, Answer{Life: testIncarnation}, HoldAnswer{}, ErrOtherLife)
+			b.gate.OnHold(b.now, h, Answer{Incarnation: testIncarnation}, HoldAnswer{}, ErrOtherIncarnation)
 			if s, told := b.states()[run]; told && s.End != 0 {
 				t.Errorf("reported %+v of an active run", s)
 			}
 			b.hold(runningLists(run))
 			b.heartbeat(testIncarnation, false)
 			b.holdOf(testIncarnation)
-			if d, known := b.gate.Description(); !known || d.Life != testIncarnation {
+			if d, known := b.gate.Description(); !known || d.Incarnation != testIncarnation {
 				t.Errorf("described as %+v, known %v, want %v", d, known, testIncarnation)
 			}
 		})
@@ -45,26 +45,26 @@
 }
 
 // renamedTarget answers as one incarnation until it is renamed.
-type renamedTarget struct{ incarnation chan Life }
+type renamedTarget struct{ incarnation chan Incarnation }
 
-func (x *renamedTarget) answers(incarnation Life) error {
+func (x *renamedTarget) answers(incarnation Incarnation) error {
 	current := <-x.incarnation
 	x.incarnation <- current
 	if incarnation.ID != "" && incarnation.ID != current.ID {
-		return ErrOtherLife
+		return ErrOtherIncarnation
 	}
 	return nil
 }
 
-func (x *renamedTarget) Start(_ context.Context, incarnation Life, _ StartCall) (Answer, error) {
+func (x *renamedTarget) Start(_ context.Context, incarnation Incarnation, _ StartCall) (Answer, error) {
 	return Answer{ClockMS: 7}, x.answers(incarnation)
 }
 
-func (x *renamedTarget) Stop(_ context.Context, incarnation Life, _ StopCall) (Answer, error) {
+func (x *renamedTarget) Stop(_ context.Context, incarnation Incarnation, _ StopCall) (Answer, error) {
 	return Answer{ClockMS: 7}, x.answers(incarnation)
 }
 
-func (x *renamedTarget) Hold(_ context.Context, incarnation Life, _ HoldCall) (Answer, HoldAnswer, error) {
+func (x *renamedTarget) Hold(_ context.Context, incarnation Incarnation, _ HoldCall) (Answer, HoldAnswer, error) {
 	return Answer{ClockMS: 7}, HoldAnswer{}, x.answers(incarnation)
 }
 
@@ -72,19 +72,19 @@
 func TestDescriptionTakenWithAnswerIsTold(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	x := &renamedTarget{incarnation: make(chan Life, 1)}
+	x := &renamedTarget{incarnation: make(chan Incarnation, 1)}
 	x.incarnation <- testIncarnation
 	d := NewDriver(ctx, New(Options{Node: "gate-1", Lease: time.Second, Contact: time.Minute, BestEffortContact: time.Minute}), x, logr.Discard())
 	go d.Run(ctx)
-	sendHeartbeat := func(incarnation Life) {
-		d.Heartbeat(Heartbeat{Life: incarnation, Service: "engine", Capacity: job.Resources{CPU: 1000}, Sequence: 1})
+	sendHeartbeat := func(incarnation Incarnation) {
+		d.Heartbeat(Heartbeat{Incarnation: incarnation, Service: "engine", Capacity: job.Resources{CPU: 1000}, Sequence: 1})
 	}
-	await := func(incarnation Life) {
+	await := func(incarnation Incarnation) {
 		t.Helper()
 		select {
 		case got := <-d.Described():
-			if got.Life != incarnation {
-				t.Fatalf("described as %v, want %v", got.Life, incarnation)
+			if got.Incarnation != incarnation {
+				t.Fatalf("described as %v, want %v", got.Incarnation, incarnation)
 			}
 		case <-time.After(10 * time.Second):
 			t.Fatalf("%v is never described", incarnation)
--- a/gate/orders.go
+++ b/gate/orders.go
@@ -24,14 +24,14 @@
 
 // Kinds of verdicts.
 const (
-	// VerdictNote: the result is durable, so the end may be acknowledged to the target.
-	VerdictNote VerdictKind = iota + 1
+	// VerdictAcknowledge: the result is durable, so the end may be acknowledged to the target.
+	VerdictAcknowledge VerdictKind = iota + 1
 	// VerdictDiscard: the end must not count.
 	VerdictDiscard
 	// VerdictClaim: the run belongs to the owner and continues.
 	VerdictClaim
-	// VerdictForeign: the run is unknown to the owner.
-	VerdictForeign
+	// VerdictUnknown: the run is unknown to the owner.
+	VerdictUnknown
 )
 
 // Verdict is an owner's decision about one run.
@@ -49,9 +49,9 @@
 	// Echo is a time on the gate's clock at which the owner was alive: the newest one that it
 	// has received plus the time elapsed since. It extends runs of best-effort jobs.
 	Echo Time
-	// KeptEcho is the newest time on the gate's clock that the owner received while its lease
+	// DurableEcho is the newest time on the gate's clock that the owner received while its lease
 	// in the store was valid. It extends runs of durable jobs.
-	KeptEcho Time
+	DurableEcho Time
 	// Evacuations is what the owner knows of evacuations, with AsOf on the gate's clock.
 	Evacuations evacuation.News
 	Sequence    uint64
@@ -115,9 +115,9 @@
 		return Actions{}, false
 	}
 	o.contact = max(o.contact, min(f.Echo, now))
-	o.durableContact = max(o.durableContact, min(f.KeptEcho, now))
+	o.durableContact = max(o.durableContact, min(f.DurableEcho, now))
 	o.received = f.Sequence
-	a := g.TakeEvacuations(now, f.Evacuations)
+	a := g.UpdateEvacuations(now, f.Evacuations)
 	g.adopt(now, owner, f.Adopt)
 	for _, v := range f.Verdicts {
 		g.applyVerdict(now, owner, v)
@@ -166,7 +166,7 @@
 		r.acknowledged = true
 		g.removeIfAcknowledged(r)
 	default:
-		g.requestStop(now, r, StopOwnerOver)
+		g.requestStop(now, r, StopOwnerEnded)
 	}
 }
 
@@ -209,7 +209,7 @@
 	switch v.Kind {
 	case VerdictClaim:
 		g.claim(now, owner, r, v)
-	case VerdictNote:
+	case VerdictAcknowledge:
 		r.acknowledged = true
 		g.removeIfAcknowledged(r)
 	case VerdictDiscard:
--- a/gate/recall.go
+++ b/gate/recall.go
@@ -9,7 +9,7 @@
 // Description is what a gate must know of its target to accept work. The target sends it with
 // its heartbeats; it is stored so that a restarted gate need not wait for one.
 type Description struct {
-	Life
+	Incarnation
 	Service  string        `json:"service"`
 	Capacity job.Resources `json:"capacity"`
 	Labels   []string      `json:"labels"`
@@ -18,13 +18,13 @@
 
 // Equal reports whether two descriptions are the same.
 func (d Description) Equal(other Description) bool {
-	return d.Life == other.Life && d.Service == other.Service && d.Capacity == other.Capacity &&
+	return d.Incarnation == other.Incarnation && d.Service == other.Service && d.Capacity == other.Capacity &&
 		d.Draining == other.Draining && slices.Equal(d.Labels, other.Labels)
 }
 
 // Description returns the target's current description; ok is false before the first heartbeat.
 func (g *Gate) Description() (d Description, ok bool) {
-	return Description{Life: g.current, Service: g.service, Capacity: g.capacity, Labels: g.labels, Draining: g.draining}, g.known
+	return Description{Incarnation: g.current, Service: g.service, Capacity: g.capacity, Labels: g.labels, Draining: g.draining}, g.known
 }
 
 // TakeDescription returns the description if it differs from the one last taken or recalled.
@@ -37,16 +37,16 @@
 	return d, true
 }
 
-// Recall provides the description stored by an earlier process of this gate. It takes effect
+// RestoreDescription provides the description stored by an earlier process of this gate. It takes effect
 // once the incarnation that it names has answered a call.
-func (g *Gate) Recall(d Description) Actions {
-	if g.known || !d.named() || g.endedIncarnations[d.Life] {
+func (g *Gate) RestoreDescription(d Description) Actions {
+	if g.known || !d.named() || g.endedIncarnations[d.Incarnation] {
 		return Actions{}
 	}
-	if g.current != d.Life && g.current != (Life{}) && !g.identifies(d.Life) {
+	if g.current != d.Incarnation && g.current != (Incarnation{}) && !g.identifies(d.Incarnation) {
 		return Actions{}
 	}
-	g.current = d.Life
+	g.current = d.Incarnation
 	g.recalled = d
 	return Actions{HoldNow: true}
 }
@@ -54,7 +54,7 @@
 // confirmRecalled applies the recalled description if it is of the current incarnation.
 func (g *Gate) confirmRecalled() {
 	d := g.recalled
-	if g.known || !d.named() || d.Life != g.current {
+	if g.known || !d.named() || d.Incarnation != g.current {
 		return
 	}
 	g.known = true
--- a/gate/recall_test.go
+++ b/gate/recall_test.go
@@ -7,13 +7,13 @@
 	"rackspur/job"
 )
 
-var recalled = Description{Life: testIncarnation, Service: "engine", Capacity: job.Resources{CPU: 16000, Memory: 32768}, Labels: []string{"r1"}}
+var recalled = Description{Incarnation: testIncarnation, Service: "engine", Capacity: job.Resources{CPU: 16000, Memory: 32768}, Labels: []string{"r1"}}
 
 // restarted returns a bench whose gate has just started and recalls a description.
 func restarted(t *testing.T, d Description) *bench {
 	b := &bench{t: t, now: time.Second, clock: 100000}
 	b.gate = New(Options{Node: "gate-1", Lease: time.Second, Contact: 1400 * time.Millisecond, BestEffortContact: 850 * time.Millisecond})
-	b.gate.Recall(d)
+	b.gate.RestoreDescription(d)
 	return b
 }
 
@@ -35,13 +35,13 @@
 func TestRecallOfOtherLife(t *testing.T) {
 	b := restarted(t, recalled)
 	h := b.gate.NextHold(b.now, 0)
-	b.gate.OnHold(b.now, h, Answer{Life: Life{ID: "i-2"}}, HoldAnswer{}, ErrOtherLife)
+	b.gate.OnHold(b.now, h, Answer{Incarnation: Incarnation{ID: "i-2"}}, HoldAnswer{}, ErrOtherIncarnation)
 	b.hold(HoldAnswer{})
 	b.hold(HoldAnswer{})
 	if b.gate.Open(b.now) {
 		t.Error("open with the description of another incarnation")
 	}
-	b.heartbeat(Life{ID: "i-2"}, false)
+	b.heartbeat(Incarnation{ID: "i-2"}, false)
 	b.hold(HoldAnswer{})
 	b.hold(HoldAnswer{})
 	if !b.gate.Open(b.now) {
@@ -61,8 +61,8 @@
 		t.Error("open beside a draining target")
 	}
 	b = newBench(t)
-	b.gate.Recall(Description{Life: Life{ID: "i-0"}, Service: "other"})
-	if d, _ := b.gate.Description(); d.Life != testIncarnation || d.Service != "engine" {
+	b.gate.RestoreDescription(Description{Incarnation: Incarnation{ID: "i-0"}, Service: "other"})
+	if d, _ := b.gate.Description(); d.Incarnation != testIncarnation || d.Service != "engine" {
 		t.Errorf("described as %v", d)
 	}
 }
--- a/gate/report.go
+++ b/gate/report.go
@@ -8,8 +8,8 @@
 
 // Report is the state of a target as reported to owners.
 type Report struct {
-	// Life is the id of the target.
-	Life     string
+	// TargetID is the id of the target.
+	TargetID string
 	Service  string
 	Capacity job.Resources
 	Free     job.Resources
@@ -157,9 +157,9 @@
 	Seen                  int64
 	Oldest                time.Duration
 	// Next is the end that has to be acknowledged next, NextOwner its owner.
-	Next      RunState
-	NextOwner string
-	NextNoted bool
+	Next             RunState
+	NextOwner        string
+	NextAcknowledged bool
 }
 
 // stallAfter is how long a run must be queued to count as stalled.
@@ -178,7 +178,7 @@
 	if next := g.listed[g.seen+1]; next != nil {
 		s.Next = next.state()
 		s.NextOwner = next.owner
-		s.NextNoted = next.acknowledged
+		s.NextAcknowledged = next.acknowledged
 	}
 	return s, true
 }
@@ -195,7 +195,7 @@
 
 func (g *Gate) report(now Time) Report {
 	return Report{
-		Life: g.current.ID, Service: g.service, Capacity: g.capacity, Free: g.capacity.Minus(g.used),
+		TargetID: g.current.ID, Service: g.service, Capacity: g.capacity, Free: g.capacity.Minus(g.used),
 		Queued: g.queued(), Labels: g.labels, Open: g.Open(now), Evacuated: g.evacuated(), Slowness: g.health.slownessAt(now),
 		Suspect: g.health.suspect && !g.health.mayStart(now),
 	}
--- a/gate/restart_test.go
+++ b/gate/restart_test.go
@@ -13,9 +13,9 @@
 
 // Incarnations of a target that restarts under its id.
 var (
-	firstIncarnation  = Life{ID: "i-1", Born: 1_796_260_000_000}
-	secondIncarnation = Life{ID: "i-1", Born: 1_796_260_030_000}
-	thirdIncarnation  = Life{ID: "i-1", Born: 1_796_260_031_000}
+	firstIncarnation  = Incarnation{ID: "i-1", Born: 1_796_260_000_000}
+	secondIncarnation = Incarnation{ID: "i-1", Born: 1_796_260_030_000}
+	thirdIncarnation  = Incarnation{ID: "i-1", Born: 1_796_260_031_000}
 )
 
 // Clocks of the incarnations at the gate's time zero. The clock of a new incarnation starts
@@ -29,7 +29,7 @@
 // restartBench is a gate beside a target whose incarnations are simulated by the test.
 type restartBench struct {
 	*bench
-	incarnation Life
+	incarnation Incarnation
 	// sequence counts the heartbeats of the incarnation.
 	sequence int64
 }
@@ -59,7 +59,7 @@
 		name := testRun("warm", i, 1)
 		b.started(b.orderBy(testOwner, b.now, name))
 		b.answer(HoldAnswer{Finished: []Ended{{Number: int64(i + 1), Name: name, Kind: EndDone}}})
-		b.verdict(name, VerdictNote)
+		b.verdict(name, VerdictAcknowledge)
 	}
 	if h := b.answer(HoldAnswer{}); h.Call.Seen != int64(n) {
 		b.t.Fatalf("acknowledged up to %d, want %d", h.Call.Seen, n)
@@ -68,7 +68,7 @@
 }
 
 // restart restarts the target.
-func (b *restartBench) restart(incarnation Life, clockAt int64) {
+func (b *restartBench) restart(incarnation Incarnation, clockAt int64) {
 	b.incarnation = incarnation
 	b.clock = clockAt - b.now.Milliseconds()
 	b.sequence = 0
@@ -81,9 +81,9 @@
 	return trusted
 }
 
-func (b *restartBench) heartbeatOf(incarnation Life, sequence int64, draining bool) Heartbeat {
+func (b *restartBench) heartbeatOf(incarnation Incarnation, sequence int64, draining bool) Heartbeat {
 	return Heartbeat{
-		Life: incarnation, Service: "engine", Capacity: job.Resources{CPU: 16000, Memory: 32768},
+		Incarnation: incarnation, Service: "engine", Capacity: job.Resources{CPU: 16000, Memory: 32768},
 		Draining: draining, ClockMS: b.targetClock(), Sequence: sequence,
 	}
 }
@@ -98,7 +98,7 @@
 
 // answered delivers the target's answer to a hold.
 func (b *restartBench) answered(h Hold, lists HoldAnswer) {
-	b.gate.OnHold(b.now, h, Answer{ClockMS: b.targetClock(), Life: Life{Born: b.incarnation.Born}}, lists, nil)
+	b.gate.OnHold(b.now, h, Answer{ClockMS: b.targetClock(), Incarnation: Incarnation{Born: b.incarnation.Born}}, lists, nil)
 }
 
 // startRun starts a best-effort run.
@@ -158,7 +158,7 @@
 			if answered {
 				b.started(a)
 			} else {
-				b.gate.OnStart(b.now, a.Life, a.Starts[0], Answer{}, ErrUnanswered)
+				b.gate.OnStart(b.now, a.Incarnation, a.Starts[0], Answer{}, ErrUnanswered)
 			}
 			b.answer(runningLists(name))
 			b.answer(runningLists(name))
@@ -169,7 +169,7 @@
 			if s := b.states()[name]; s.End != EndDone {
 				t.Errorf("reported %+v, want the run done (start answered %v)", s, answered)
 			}
-			b.verdict(name, VerdictNote)
+			b.verdict(name, VerdictAcknowledge)
 			if h := b.answer(HoldAnswer{}); h.Call.Seen != 1 {
 				t.Errorf("acknowledged up to %d, want 1 (start answered %v)", h.Call.Seen, answered)
 			}
@@ -330,11 +330,11 @@
 		{"a deregistration", func(b *restartBench, _ Hold) { b.gate.OnDeregister(b.now, firstIncarnation) }},
 		{"lists", func(b *restartBench, h Hold) {
 			lists := HoldAnswer{Finished: []Ended{{Number: 6, Name: testRun("bb", 0, 1), Kind: EndDone}}}
-			b.gate.OnHold(b.now, h, Answer{ClockMS: firstClockAt + b.now.Milliseconds(), Life: Life{Born: firstIncarnation.Born}}, lists, nil)
+			b.gate.OnHold(b.now, h, Answer{ClockMS: firstClockAt + b.now.Milliseconds(), Incarnation: Incarnation{Born: firstIncarnation.Born}}, lists, nil)
 		}},
 		{"a call that failed", func(b *restartBench, h Hold) {
 			b.gate.OnHold(b.now, h, Answer{ClockMS: firstClockAt * 9}, HoldAnswer{}, ErrFenced)
-			b.gate.OnHold(b.now, h, Answer{}, HoldAnswer{}, ErrOtherLife)
+			b.gate.OnHold(b.now, h, Answer{}, HoldAnswer{}, ErrOtherIncarnation)
 		}},
 	}
 	for _, test := range tests {
@@ -378,7 +378,7 @@
 	b.answer(HoldAnswer{})
 	b.sendHeartbeat(false)
 	b.answer(HoldAnswer{})
-	b.gate.OnHold(b.now, early, Answer{ClockMS: aheadClockAt, Life: Life{Born: firstIncarnation.Born}}, HoldAnswer{}, nil)
+	b.gate.OnHold(b.now, early, Answer{ClockMS: aheadClockAt, Incarnation: Incarnation{Born: firstIncarnation.Born}}, HoldAnswer{}, nil)
 	b.answer(HoldAnswer{})
 	if b.gate.current != secondIncarnation || !b.gate.Open(b.now) {
 		t.Errorf("incarnation %v, open %v, want the new one and open", b.gate.current, b.gate.Open(b.now))
@@ -393,7 +393,7 @@
 	b.startRun(name)
 	b.answer(runningLists(name))
 	b.states()
-	unidentified := Life{ID: firstIncarnation.ID}
+	unidentified := Incarnation{ID: firstIncarnation.ID}
 	if _, trusted := b.gate.OnHeartbeat(b.now, b.heartbeatOf(unidentified, 99, true)); trusted {
 		t.Error("a heartbeat is trusted")
 	}
@@ -416,7 +416,7 @@
 // An end that was reported but not acknowledged before the restart is reported until its owner
 // has accepted or discarded it.
 func TestRestartBeforeEndIsNoted(t *testing.T) {
-	for _, kind := range []VerdictKind{VerdictNote, VerdictDiscard} {
+	for _, kind := range []VerdictKind{VerdictAcknowledge, VerdictDiscard} {
 		b := newRestartBench(t)
 		name := testRun("aa", 0, 1)
 		b.started(b.order(true, name))
@@ -452,7 +452,7 @@
 // Two restarts happen between two answers, the second one also under another id but with the
 // same start time.
 func TestRestartTwice(t *testing.T) {
-	for _, last := range []Life{thirdIncarnation, {ID: "i-2", Born: firstIncarnation.Born}} {
+	for _, last := range []Incarnation{thirdIncarnation, {ID: "i-2", Born: firstIncarnation.Born}} {
 		b := newRestartBench(t)
 		name := testRun("aa", 0, 1)
 		b.startRun(name)
@@ -465,7 +465,7 @@
 		h := b.gate.NextHold(b.now, 0)
 		b.now += time.Millisecond
 		if last.ID != firstIncarnation.ID {
-			b.gate.OnHold(b.now, h, Answer{Life: Life{ID: last.ID}}, HoldAnswer{}, ErrOtherLife)
+			b.gate.OnHold(b.now, h, Answer{Incarnation: Incarnation{ID: last.ID}}, HoldAnswer{}, ErrOtherIncarnation)
 		} else {
 			b.answered(h, HoldAnswer{})
 		}
@@ -507,11 +507,11 @@
 // A new process of the gate does not apply a stored description of a previous incarnation, nor
 // one that does not identify its incarnation.
 func TestRecallOfFormerLife(t *testing.T) {
-	for _, incarnation := range []Life{firstIncarnation, {ID: firstIncarnation.ID}} {
+	for _, incarnation := range []Incarnation{firstIncarnation, {ID: firstIncarnation.ID}} {
 		b := newRestartBench(t)
 		b.gate = New(b.gate.options)
 		b.restart(secondIncarnation, behindClockAt)
-		b.gate.Recall(Description{Life: incarnation, Service: "engine", Capacity: job.Resources{CPU: 16000}, Draining: true})
+		b.gate.RestoreDescription(Description{Incarnation: incarnation, Service: "engine", Capacity: job.Resources{CPU: 16000}, Draining: true})
 		for range 3 {
 			b.answer(HoldAnswer{})
 		}
@@ -593,7 +593,7 @@
 	if s := b.states()[name]; s.End != EndDone {
 		t.Errorf("reported %+v, want the run done", s)
 	}
-	b.verdict(name, VerdictNote)
+	b.verdict(name, VerdictAcknowledge)
 	if h := b.answer(HoldAnswer{}); h.Call.Seen != 7 || b.gate.HasRuns(testOwner) {
 		t.Errorf("acknowledged up to %d, run known %v", h.Call.Seen, b.gate.HasRuns(testOwner))
 	}
@@ -629,8 +629,8 @@
 	b.answer(runningLists(name))
 	b.answer(runningLists(name))
 	clock := b.gate.targetClock(b.now)
-	b.gate.OnStop(b.now, a.Life, stop, Answer{ClockMS: aheadClockAt}, nil)
-	b.gate.OnStart(b.now, a.Life, a.Starts[0], Answer{ClockMS: aheadClockAt}, nil)
+	b.gate.OnStop(b.now, a.Incarnation, stop, Answer{ClockMS: aheadClockAt}, nil)
+	b.gate.OnStart(b.now, a.Incarnation, a.Starts[0], Answer{ClockMS: aheadClockAt}, nil)
 	if r := b.gate.runs[name]; r == nil || r.stopConfirmed != 0 {
 		t.Errorf("run %+v, want one whose stop is not confirmed", r)
 	}
@@ -662,7 +662,7 @@
 	b.gate.NextHold(b.now, holdWait)
 	b.restart(secondIncarnation, behindClockAt)
 	b.now += 80 * time.Millisecond
-	b.verdict(name, VerdictNote)
+	b.verdict(name, VerdictAcknowledge)
 	beside := b.gate.NextHold(b.now, 0)
 	if beside.Call.Seen != 0 {
 		t.Errorf("acknowledges ends up to %d of an incarnation that last answered 80 ms ago, want none", beside.Call.Seen)
@@ -677,10 +677,10 @@
 	b.startRun(name)
 	b.answer(HoldAnswer{Finished: []Ended{{Number: 6, Name: name, Kind: EndDone}}})
 	b.now += 80 * time.Millisecond
-	b.verdict(name, VerdictNote)
+	b.verdict(name, VerdictAcknowledge)
 	beside := b.gate.NextHold(b.now, 0)
 	b.now += time.Millisecond
-	a := b.gate.OnHold(b.now, beside, Answer{ClockMS: b.targetClock(), Life: Life{Born: b.incarnation.Born}}, HoldAnswer{}, nil)
+	a := b.gate.OnHold(b.now, beside, Answer{ClockMS: b.targetClock(), Incarnation: Incarnation{Born: b.incarnation.Born}}, HoldAnswer{}, nil)
 	if !a.HoldNow {
 		t.Fatal("no hold follows that acknowledges the end")
 	}
--- a/gate/retry.go
+++ b/gate/retry.go
@@ -95,7 +95,7 @@
 
 // answered reports whether the target has answered the call that returned err.
 func answered(err error) bool {
-	return !errors.Is(err, ErrUnanswered) && !errors.Is(err, ErrUnreached)
+	return !errors.Is(err, ErrUnanswered) && !errors.Is(err, ErrUnreachable)
 }
 
 // await waits until the call is resolved or has to be sent again.
@@ -109,7 +109,7 @@
 			if errors.Is(t.err, ErrUnanswered) {
 				c.lost++
 			}
-			if answered(t.err) || c.tries == 1 && errors.Is(t.err, ErrUnreached) {
+			if answered(t.err) || c.tries == 1 && errors.Is(t.err, ErrUnreachable) {
 				return false, c.decided(t)
 			}
 			if c.mayResend() {
--- a/gate/retry_test.go
+++ b/gate/retry_test.go
@@ -36,10 +36,10 @@
 	}{
 		{name: "answered", tries: []func(context.Context) (Answer, error){answers(nil)}, sent: 1},
 		{name: "refused", tries: []func(context.Context) (Answer, error){answers(ErrNoRoom)}, want: ErrNoRoom, sent: 1},
-		{name: "not reached", tries: []func(context.Context) (Answer, error){answers(ErrUnreached)}, want: ErrUnreached, sent: 1},
+		{name: "not reached", tries: []func(context.Context) (Answer, error){answers(ErrUnreachable)}, want: ErrUnreachable, sent: 1},
 		{name: "second answered", tries: []func(context.Context) (Answer, error){hangs, answers(nil)}, sent: 2},
 		{name: "second refused, first may be done", tries: []func(context.Context) (Answer, error){hangs, answers(ErrNoRoom)}, want: ErrUnanswered, sent: 2},
-		{name: "second not reached, third answered", tries: []func(context.Context) (Answer, error){hangs, answers(ErrUnreached), answers(nil)}, sent: 3},
+		{name: "second not reached, third answered", tries: []func(context.Context) (Answer, error){hangs, answers(ErrUnreachable), answers(nil)}, sent: 3},
 		{name: "ended unanswered, then answered", tries: []func(context.Context) (Answer, error){answers(ErrUnanswered), answers(nil)}, sent: 2},
 		{name: "silence", tries: []func(context.Context) (Answer, error){hangs, hangs, hangs, hangs}, want: ErrUnanswered, sent: maxUnansweredTries},
 	}
@@ -116,7 +116,7 @@
 	underWay, maxUnderWay atomic.Int32
 }
 
-func (e *lossyHolds) Hold(ctx context.Context, _ Life, _ HoldCall) (Answer, HoldAnswer, error) {
+func (e *lossyHolds) Hold(ctx context.Context, _ Incarnation, _ HoldCall) (Answer, HoldAnswer, error) {
 	n := e.underWay.Add(1)
 	defer e.underWay.Add(-1)
 	e.maxUnderWay.Store(max(e.maxUnderWay.Load(), n))
@@ -136,7 +136,7 @@
 	g := New(Options{Node: "gate-1", Lease: time.Second, Contact: time.Minute, BestEffortContact: time.Minute})
 	d := NewDriver(ctx, g, e, logr.Discard())
 	go d.Run(ctx)
-	d.Heartbeat(Heartbeat{Life: testIncarnation, Service: "engine", Sequence: 1})
+	d.Heartbeat(Heartbeat{Incarnation: testIncarnation, Service: "engine", Sequence: 1})
 	until := time.Now().Add(30 * time.Second)
 	for e.holds.Load() < 20 && time.Now().Before(until) {
 		<-time.After(time.Millisecond)
@@ -204,7 +204,7 @@
 	holds, ended atomic.Int32
 }
 
-func (e *lateHolds) Hold(ctx context.Context, _ Life, c HoldCall) (Answer, HoldAnswer, error) {
+func (e *lateHolds) Hold(ctx context.Context, _ Incarnation, c HoldCall) (Answer, HoldAnswer, error) {
 	takes := time.Duration(c.WaitMS) * time.Millisecond
 	if e.holds.Add(1)%10 == 0 {
 		takes += maxRTO + lateAnswerWait/2
@@ -226,7 +226,7 @@
 		g := New(Options{Node: "gate-1", Lease: time.Second, Contact: time.Minute, BestEffortContact: time.Minute})
 		d := NewDriver(ctx, g, e, logr.Discard())
 		go d.Run(ctx)
-		d.Heartbeat(Heartbeat{Life: testIncarnation, Service: "engine", Sequence: 1})
+		d.Heartbeat(Heartbeat{Incarnation: testIncarnation, Service: "engine", Sequence: 1})
 		wait.For(ctx, 30*time.Second)
 		if holds, ended := e.holds.Load(), e.ended.Load(); holds < 100 || ended > 0 {
 			t.Errorf("%d of %d holds ended early", ended, holds)
--- a/gate/silence.go
+++ b/gate/silence.go
@@ -13,7 +13,7 @@
 	switch {
 	case answered(err):
 		g.recordContact(now)
-	case errors.Is(err, ErrUnreached):
+	case errors.Is(err, ErrUnreachable):
 		g.unreachable = true
 	}
 }
--- a/gate/silence_test.go
+++ b/gate/silence_test.go
@@ -65,7 +65,7 @@
 func TestUnreachedExecutorClosesGate(t *testing.T) {
 	b := newBench(t)
 	a := b.orderTwo()
-	a = b.gate.OnStart(b.now, a.Life, a.Starts[0], Answer{}, ErrUnreached)
+	a = b.gate.OnStart(b.now, a.Incarnation, a.Starts[0], Answer{}, ErrUnreachable)
 	if len(a.Starts) > 0 {
 		t.Errorf("started %v there", a.Starts[0].Name)
 	}
--- a/gate/start.go
+++ b/gate/start.go
@@ -6,7 +6,7 @@
 
 // startFromQueue starts as many queued runs as fit, in order of rank.
 func (g *Gate) startFromQueue(now Time, a Actions) Actions {
-	a.Life = g.current
+	a.Incarnation = g.current
 	g.reportOpen(now)
 	if !g.Open(now) || !g.current.named() {
 		g.rejectQueue("closed")
@@ -110,7 +110,7 @@
 }
 
 // OnStart handles the answer to a start.
-func (g *Gate) OnStart(now Time, incarnation Life, c StartCall, ans Answer, err error) Actions {
+func (g *Gate) OnStart(now Time, incarnation Incarnation, c StartCall, ans Answer, err error) Actions {
 	r := g.runs[c.Name]
 	if incarnation != g.current || r == nil || r.phase != phaseStarting {
 		return Actions{}
@@ -145,7 +145,7 @@
 }
 
 // OnStop handles the answer to a stop.
-func (g *Gate) OnStop(now Time, incarnation Life, c StopCall, ans Answer, err error) Actions {
+func (g *Gate) OnStop(now Time, incarnation Incarnation, c StopCall, ans Answer, err error) Actions {
 	r := g.runs[c.Name]
 	if incarnation != g.current || r == nil {
 		return Actions{}
--- a/gate/stop.go
+++ b/gate/stop.go
@@ -7,7 +7,7 @@
 const (
 	StopOrdered     StopReason = "ordered by its owner"
 	StopOwnerSilent StopReason = "no contact with its owner"
-	StopOwnerOver   StopReason = "its owner has ended"
+	StopOwnerEnded  StopReason = "its owner has ended"
 	StopUnclaimed   StopReason = "claimed by no owner"
 	StopDiscarded   StopReason = "its end is discarded"
 	StopUnanswered  StopReason = "start unanswered, run not listed"
@@ -49,7 +49,7 @@
 
 // sendStops sends the stops that are due.
 func (g *Gate) sendStops(now Time, a Actions) Actions {
-	a.Life = g.current
+	a.Incarnation = g.current
 	for _, r := range g.runs {
 		if !r.active() || !r.mustStop {
 			continue
--- a/gate/executor.go
+++ b/gate/target.go
@@ -20,12 +20,12 @@
 	ErrFenced = eris.New("gate: fencing token is too low")
 	// ErrUnhealthy: the target is unhealthy and has not carried out the call.
 	ErrUnhealthy = eris.New("gate: executor is unhealthy")
-	// ErrOtherLife: the call named another incarnation of the target.
-	ErrOtherLife = eris.New("gate: another life of the executor")
+	// ErrOtherIncarnation: the call named another incarnation of the target.
+	ErrOtherIncarnation = eris.New("gate: another life of the executor")
 	// ErrRefused: the target rejected the call as invalid.
 	ErrRefused = eris.New("gate: executor refused the call")
-	// ErrUnreached: no connection could be established; the call was not sent.
-	ErrUnreached = eris.New("gate: executor not reached")
+	// ErrUnreachable: no connection could be established; the call was not sent.
+	ErrUnreachable = eris.New("gate: executor not reached")
 	// ErrUnanswered: the call may have been carried out, or may be carried out later.
 	ErrUnanswered = eris.New("gate: executor did not answer")
 )
@@ -110,18 +110,18 @@
 type Answer struct {
 	// ClockMS is the target's monotonic clock in milliseconds; 0 if it was not given.
 	ClockMS int64
-	// Life is the incarnation that answered, as far as it is known: a target reports its id
+	// Incarnation is the incarnation that answered, as far as it is known: a target reports its id
 	// when it rejects a call meant for another one, and Born with its lists.
-	Life Life
+	Incarnation Incarnation
 }
 
-// Executor calls the target beside a gate. A call names the incarnation that it is meant for;
+// Target calls the target beside a gate. A call names the incarnation that it is meant for;
 // an empty id means any. Only the id is checked, so an incarnation can't detect calls meant for
 // an earlier one under the same id. Errors are those of this package.
-type Executor interface {
-	Start(ctx context.Context, incarnation Life, c StartCall) (Answer, error)
-	Stop(ctx context.Context, incarnation Life, c StopCall) (Answer, error)
-	Hold(ctx context.Context, incarnation Life, c HoldCall) (Answer, HoldAnswer, error)
+type Target interface {
+	Start(ctx context.Context, incarnation Incarnation, c StartCall) (Answer, error)
+	Stop(ctx context.Context, incarnation Incarnation, c StopCall) (Answer, error)
+	Hold(ctx context.Context, incarnation Incarnation, c HoldCall) (Answer, HoldAnswer, error)
 }
 
 // newConnectionKey is the context key of OnNewConnection.
@@ -141,11 +141,11 @@
 
 // Heartbeat is a target's periodic message about itself.
 type Heartbeat struct {
-	Life     Life
-	Service  string
-	Capacity job.Resources
-	Labels   []string
-	Draining bool
-	ClockMS  int64
-	Sequence int64
+	Incarnation Incarnation
+	Service     string
+	Capacity    job.Resources
+	Labels      []string
+	Draining    bool
+	ClockMS     int64
+	Sequence    int64
 }
--- a/internal/standin/executor.go
+++ b/internal/standin/executor.go
@@ -204,7 +204,7 @@
 		return gate.ErrUnanswered
 	}
 	if id != "" && id != e.Life {
-		return gate.ErrOtherLife
+		return gate.ErrOtherIncarnation
 	}
 	if fence < e.fence {
 		return gate.ErrFenced
@@ -218,13 +218,13 @@
 }
 
 // Start implements gate.Executor.Start.
-func (e *Executor) Start(_ context.Context, life gate.Life, c gate.StartCall) (a gate.Answer, err error) {
+func (e *Executor) Start(_ context.Context, life gate.Incarnation, c gate.StartCall) (a gate.Answer, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
 	e.advance(now)
 	defer func() { e.record(now, Order{Kind: OrderStart, Name: c.Name, Err: err}, c.UntilMS) }()
-	a = gate.Answer{ClockMS: e.clock(now), Life: gate.Life{ID: e.Life}}
+	a = gate.Answer{ClockMS: e.clock(now), Incarnation: gate.Incarnation{ID: e.Life}}
 	if err := e.checkCall(life.ID, c.Fence); err != nil {
 		return a, err
 	}
@@ -254,13 +254,13 @@
 }
 
 // Stop implements gate.Executor.Stop.
-func (e *Executor) Stop(_ context.Context, life gate.Life, c gate.StopCall) (a gate.Answer, err error) {
+func (e *Executor) Stop(_ context.Context, life gate.Incarnation, c gate.StopCall) (a gate.Answer, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
 	e.advance(now)
 	defer func() { e.record(now, Order{Kind: OrderStop, Name: c.Name, Err: err}, 0) }()
-	a = gate.Answer{ClockMS: e.clock(now), Life: gate.Life{ID: e.Life}}
+	a = gate.Answer{ClockMS: e.clock(now), Incarnation: gate.Incarnation{ID: e.Life}}
 	if err := e.checkCall(life.ID, c.Fence); err != nil {
 		return a, err
 	}
@@ -274,7 +274,7 @@
 }
 
 // Hold implements gate.Executor.Hold.
-func (e *Executor) Hold(ctx context.Context, life gate.Life, c gate.HoldCall) (gate.Answer, gate.HoldAnswer, error) {
+func (e *Executor) Hold(ctx context.Context, life gate.Incarnation, c gate.HoldCall) (gate.Answer, gate.HoldAnswer, error) {
 	e.mu.Lock()
 	now := time.Now()
 	e.advance(now)
@@ -284,7 +284,7 @@
 		e.acknowledge(c.Seen)
 	}
 	e.record(now, Order{Kind: OrderHold, Seen: c.Seen, Err: err}, c.UntilMS)
-	a := gate.Answer{ClockMS: e.clock(now), Life: gate.Life{ID: e.Life}}
+	a := gate.Answer{ClockMS: e.clock(now), Incarnation: gate.Incarnation{ID: e.Life}}
 	e.mu.Unlock()
 	if err != nil {
 		return a, gate.HoldAnswer{}, err
@@ -295,7 +295,7 @@
 	if e.down {
 		return gate.Answer{}, gate.HoldAnswer{}, gate.ErrUnanswered
 	}
-	return gate.Answer{ClockMS: e.clock(time.Now()), Life: gate.Life{ID: e.Life, Born: e.Born}}, e.lists(), nil
+	return gate.Answer{ClockMS: e.clock(time.Now()), Incarnation: gate.Incarnation{ID: e.Life, Born: e.Born}}, e.lists(), nil
 }
 
 // acknowledge drops the ends with numbers up to upTo.
--- a/internal/standin/executor_test.go
+++ b/internal/standin/executor_test.go
@@ -18,16 +18,16 @@
 	until := e.Clock() + time.Minute.Milliseconds()
 	for run := 1; run <= 2; run++ {
 		name := job.RunName{TaskName: job.TaskName{Job: "00000000000000aa"}, Run: run}
-		if _, err := e.Start(ctx, gate.Life{}, gate.StartCall{Name: name, Need: job.Resources{CPU: 1000}, UntilMS: until}); err != nil {
+		if _, err := e.Start(ctx, gate.Incarnation{}, gate.StartCall{Name: name, Need: job.Resources{CPU: 1000}, UntilMS: until}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	_, lists, err := e.Hold(ctx, gate.Life{}, gate.HoldCall{})
+	_, lists, err := e.Hold(ctx, gate.Incarnation{}, gate.HoldCall{})
 	if err != nil || len(lists.Running) != 2 {
 		t.Fatalf("%d runs are listed (%v), want 2", len(lists.Running), err)
 	}
 	second := job.RunName{TaskName: job.TaskName{Job: "00000000000000aa"}, Run: 2}
-	if _, err := e.Stop(ctx, gate.Life{}, gate.StopCall{Name: second}); err != nil {
+	if _, err := e.Stop(ctx, gate.Incarnation{}, gate.StopCall{Name: second}); err != nil {
 		t.Fatal(err)
 	}
 	for _, s := range e.Journal() {
@@ -44,7 +44,7 @@
 func startLong(t *testing.T, e *Executor) job.RunName {
 	t.Helper()
 	name := job.RunName{TaskName: job.TaskName{Job: "a"}, Run: 1}
-	if _, err := e.Start(context.Background(), gate.Life{}, gate.StartCall{Name: name, Fence: 1, UntilMS: e.Clock() + 1000}); err != nil {
+	if _, err := e.Start(context.Background(), gate.Incarnation{}, gate.StartCall{Name: name, Fence: 1, UntilMS: e.Clock() + 1000}); err != nil {
 		t.Fatal(err)
 	}
 	return name
@@ -75,17 +75,17 @@
 		{"2 lease lapses on a slow clock", MostSlow, func(*testing.T, *Executor, job.RunName) {}, 1020408 * time.Microsecond, gate.EndLapsed},
 		{"3 crash", 0, func(_ *testing.T, e *Executor, _ job.RunName) { e.Crash() }, 400 * time.Millisecond, gate.EndLost},
 		{"4 stop", 0, func(t *testing.T, e *Executor, n job.RunName) {
-			if _, err := e.Stop(context.Background(), gate.Life{}, gate.StopCall{Name: n, Fence: 1}); err != nil {
+			if _, err := e.Stop(context.Background(), gate.Incarnation{}, gate.StopCall{Name: n, Fence: 1}); err != nil {
 				t.Fatal(err)
 			}
 		}, 400 * time.Millisecond, gate.EndStopped},
 		{"5 hold extends the lease", 0, func(t *testing.T, e *Executor, _ job.RunName) {
-			if _, _, err := e.Hold(context.Background(), gate.Life{}, gate.HoldCall{Fence: 1, UntilMS: e.Clock() + 1000}); err != nil {
+			if _, _, err := e.Hold(context.Background(), gate.Incarnation{}, gate.HoldCall{Fence: 1, UntilMS: e.Clock() + 1000}); err != nil {
 				t.Fatal(err)
 			}
 		}, 1400 * time.Millisecond, gate.EndLapsed},
 		{"6 lower token", 0, func(t *testing.T, e *Executor, _ job.RunName) {
-			if _, _, err := e.Hold(context.Background(), gate.Life{}, gate.HoldCall{UntilMS: e.Clock() + 1000}); err != gate.ErrFenced {
+			if _, _, err := e.Hold(context.Background(), gate.Incarnation{}, gate.HoldCall{UntilMS: e.Clock() + 1000}); err != gate.ErrFenced {
 				t.Fatalf("got %v", err)
 			}
 		}, time.Second, gate.EndLapsed},
@@ -116,21 +116,21 @@
 		name := job.RunName{TaskName: job.TaskName{Job: "a"}, Run: 1}
 		late := gate.StartCall{Name: name, Fence: 1, UntilMS: e.Clock() + 500}
 		<-time.After(600 * time.Millisecond)
-		if _, err := e.Start(context.Background(), gate.Life{ID: "i-1"}, late); err != gate.ErrLate {
+		if _, err := e.Start(context.Background(), gate.Incarnation{ID: "i-1"}, late); err != gate.ErrLate {
 			t.Errorf("after its lease: %v", err)
 		}
-		if _, err := e.Start(context.Background(), gate.Life{ID: "i-0"}, late); err != gate.ErrOtherLife {
+		if _, err := e.Start(context.Background(), gate.Incarnation{ID: "i-0"}, late); err != gate.ErrOtherIncarnation {
 			t.Errorf("on another executor: %v", err)
 		}
-		if _, err := e.Stop(context.Background(), gate.Life{ID: "i-1"}, gate.StopCall{Name: name, Fence: 2}); err != nil {
+		if _, err := e.Stop(context.Background(), gate.Incarnation{ID: "i-1"}, gate.StopCall{Name: name, Fence: 2}); err != nil {
 			t.Fatal(err)
 		}
 		late.UntilMS = e.Clock() + 500
-		if _, err := e.Start(context.Background(), gate.Life{ID: "i-1"}, late); err != gate.ErrFenced {
+		if _, err := e.Start(context.Background(), gate.Incarnation{ID: "i-1"}, late); err != gate.ErrFenced {
 			t.Errorf("with a lower token: %v", err)
 		}
 		late.Fence = 2
-		if _, err := e.Start(context.Background(), gate.Life{ID: "i-1"}, late); err != gate.ErrOldRun {
+		if _, err := e.Start(context.Background(), gate.Incarnation{ID: "i-1"}, late); err != gate.ErrOldRun {
 			t.Errorf("after its stop: %v", err)
 		}
 		if n := len(e.Journal()); n != 0 {
@@ -147,7 +147,7 @@
 		task := job.TaskName{Job: "a"}
 		for _, run := range []int{7, 1} {
 			c := gate.StartCall{Name: job.RunName{TaskName: task, Run: run}, Fence: 1, UntilMS: e.Clock() + 1000}
-			if _, err := e.Start(context.Background(), gate.Life{}, c); err != nil {
+			if _, err := e.Start(context.Background(), gate.Incarnation{}, c); err != nil {
 				t.Fatal(err)
 			}
 			<-time.After(100 * time.Millisecond)
--- a/internal/standin/executorwire.go
+++ b/internal/standin/executorwire.go
@@ -91,21 +91,21 @@
 // Handler serves the executor's interface.
 func (p *ExecutorPort) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/run-start", p.serve(OrderStart, func(ctx context.Context, e *Executor, life gate.Life, o orderOnWire, n job.RunName) (gate.Answer, gate.HoldAnswer, error) {
+	mux.HandleFunc("POST /v1/run-start", p.serve(OrderStart, func(ctx context.Context, e *Executor, life gate.Incarnation, o orderOnWire, n job.RunName) (gate.Answer, gate.HoldAnswer, error) {
 		a, err := e.Start(ctx, life, gate.StartCall{Name: n, Spec: o.Spec, Need: p.Need, Checkpoint: o.Checkpoint, UntilMS: o.UntilMS, Fence: o.Fence})
 		return a, gate.HoldAnswer{}, err
 	}))
-	mux.HandleFunc("POST /v1/run-stop", p.serve(OrderStop, func(ctx context.Context, e *Executor, life gate.Life, o orderOnWire, n job.RunName) (gate.Answer, gate.HoldAnswer, error) {
+	mux.HandleFunc("POST /v1/run-stop", p.serve(OrderStop, func(ctx context.Context, e *Executor, life gate.Incarnation, o orderOnWire, n job.RunName) (gate.Answer, gate.HoldAnswer, error) {
 		a, err := e.Stop(ctx, life, gate.StopCall{Name: n, Fence: o.Fence})
 		return a, gate.HoldAnswer{}, err
 	}))
-	mux.HandleFunc("POST /v1/hold", p.serve(OrderHold, func(ctx context.Context, e *Executor, life gate.Life, o orderOnWire, _ job.RunName) (gate.Answer, gate.HoldAnswer, error) {
+	mux.HandleFunc("POST /v1/hold", p.serve(OrderHold, func(ctx context.Context, e *Executor, life gate.Incarnation, o orderOnWire, _ job.RunName) (gate.Answer, gate.HoldAnswer, error) {
 		return e.Hold(ctx, life, gate.HoldCall{Fence: o.Fence, UntilMS: o.UntilMS, Seen: o.Seen, WaitMS: o.WaitMS})
 	}))
 	return mux
 }
 
-type executorCall func(ctx context.Context, e *Executor, life gate.Life, o orderOnWire, n job.RunName) (gate.Answer, gate.HoldAnswer, error)
+type executorCall func(ctx context.Context, e *Executor, life gate.Incarnation, o orderOnWire, n job.RunName) (gate.Answer, gate.HoldAnswer, error)
 
 func (p *ExecutorPort) serve(kind string, do executorCall) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
@@ -123,7 +123,7 @@
 			}
 			name.TaskName = task
 		}
-		life := gate.Life{ID: req.Header.Get(headerTargetInstance)}
+		life := gate.Incarnation{ID: req.Header.Get(headerTargetInstance)}
 		if loss := p.loss(kind); loss.Unanswered {
 			// A late call is executed by the incarnation that is current at that time.
 			runAfter(loss.Late, func() { _, _, _ = do(context.Background(), p.Executor(), life, o, name) })
@@ -135,13 +135,13 @@
 		if errors.Is(err, gate.ErrUnanswered) {
 			abortConnection()
 		}
-		if errors.Is(err, gate.ErrOtherLife) {
-			w.Header().Set(headerInstanceID, a.Life.ID)
+		if errors.Is(err, gate.ErrOtherIncarnation) {
+			w.Header().Set(headerInstanceID, a.Incarnation.ID)
 		}
 		status, reason := statusOnWire(err)
 		answer := listsOnWire{ClockMS: a.ClockMS, Reason: reason, Running: runningOnWire(lists.Running), Finished: finishedOnWire(lists.Finished)}
 		if kind == OrderHold && err == nil {
-			answer.Born = a.Life.Born
+			answer.Born = a.Incarnation.Born
 		}
 		writeWire(w, status, answer)
 	}
@@ -187,7 +187,7 @@
 		return http.StatusConflict, "late"
 	case errors.Is(err, gate.ErrFenced):
 		return http.StatusConflict, "fence"
-	case errors.Is(err, gate.ErrOtherLife):
+	case errors.Is(err, gate.ErrOtherIncarnation):
 		return http.StatusMisdirectedRequest, ""
 	}
 	return http.StatusServiceUnavailable, ""
--- a/node/agent.go
+++ b/node/agent.go
@@ -18,7 +18,7 @@
 // Agent is a box that runs the gate of a target.
 type Agent struct {
 	options  Options
-	target   gate.Executor
+	target   gate.Target
 	listener net.Listener
 	log      logr.Logger
 	driver   *gate.Driver
@@ -28,7 +28,7 @@
 
 // NewAgent returns an agent and starts listening for other boxes. Calls to the target
 // are cancelled when the context ends.
-func NewAgent(ctx context.Context, o Options, target gate.Executor) (*Agent, error) {
+func NewAgent(ctx context.Context, o Options, target gate.Target) (*Agent, error) {
 	listener, err := net.Listen("tcp", o.Listen)
 	if err != nil {
 		return nil, eris.Wrap(ErrServe, err.Error())
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -135,7 +135,7 @@
 // sendHeartbeats sends a target's heartbeats to its agent.
 func (c *cluster) sendHeartbeats(ctx context.Context, a *Agent, target *standin.Executor) {
 	for sequence := int64(1); ctx.Err() == nil; sequence++ {
-		a.Driver().Heartbeat(gate.Heartbeat{Life: gate.Life{ID: target.Life, Born: target.Born}, Service: testService, Capacity: target.Capacity, Sequence: sequence})
+		a.Driver().Heartbeat(gate.Heartbeat{Incarnation: gate.Incarnation{ID: target.Life, Born: target.Born}, Service: testService, Capacity: target.Capacity, Sequence: sequence})
 		wait.For(ctx, 300*time.Millisecond)
 	}
 }
--- a/node/descriptions.go
+++ b/node/descriptions.go
@@ -69,7 +69,7 @@
 		s.unreadable.Note(tableTargets, row.Name, err.Error())
 		return
 	}
-	s.driver.Recall(d)
+	s.driver.RestoreDescription(d)
 }
 
 // keep writes a description, with retries until it is stored, a newer one is available,
--- a/node/descriptions_test.go
+++ b/node/descriptions_test.go
@@ -46,7 +46,7 @@
 }
 
 func (r *restoreRig) sendHeartbeat(a *Agent) {
-	a.Driver().Heartbeat(gate.Heartbeat{Life: gate.Life{ID: r.target.Life, Born: r.target.Born}, Service: testService, Capacity: r.target.Capacity, Labels: []string{"r1"}, Sequence: 1})
+	a.Driver().Heartbeat(gate.Heartbeat{Incarnation: gate.Incarnation{ID: r.target.Life, Born: r.target.Born}, Service: testService, Capacity: r.target.Capacity, Labels: []string{"r1"}, Sequence: 1})
 }
 
 // open reports whether the agent's gate is open, and the capacity that it reports.
--- a/node/entry.go
+++ b/node/entry.go
@@ -198,7 +198,7 @@
 // passEvacuations passes evacuations on to the current owner.
 func (e *Entry) passEvacuations(n evacuation.News) {
 	if t := e.current.Load(); t != nil {
-		t.owner.TakeEvacuations(n)
+		t.owner.UpdateEvacuations(n)
 	}
 }
 
@@ -262,7 +262,7 @@
 	incarnation := e.options.Node + "~" + uuid.NewString()[:8]
 	t := e.newTerm(ctx, incarnation)
 	e.current.Store(t)
-	t.owner.TakeEvacuations(e.evacuations.News())
+	t.owner.UpdateEvacuations(e.evacuations.News())
 	for _, b := range e.known() {
 		t.found(b)
 	}
--- a/node/evacuation.go
+++ b/node/evacuation.go
@@ -74,7 +74,7 @@
 		return
 	}
 	w.failing = false
-	w.driver.TakeEvacuations(evacuation.News{Domains: domains, Version: version, AsOf: sent})
+	w.driver.UpdateEvacuations(evacuation.News{Domains: domains, Version: version, AsOf: sent})
 }
 
 // logFailure logs the first of several failed reads in a row.
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -74,7 +74,7 @@
 	started := o.site.started
 	for b.awake.pass(b.ctx) {
 		if domains, version, err := o.read(b.name); err == nil {
-			b.owner.TakeEvacuations(evacuation.News{Domains: domains, Version: version, AsOf: time.Since(started)})
+			b.owner.UpdateEvacuations(evacuation.News{Domains: domains, Version: version, AsOf: time.Since(started)})
 		}
 		wait.For(b.ctx, feedPause)
 	}
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -67,8 +67,8 @@
 	register := func(name string, read func(gate.Counts) int64) {
 		a.options.Metrics.Gauge(name, func() int64 { return read(a.driver.Counts()) })
 	}
-	register("gate.lists_passed_over", func(c gate.Counts) int64 { return c.ListsPassedOver })
-	register("gate.heartbeats_passed_over", func(c gate.Counts) int64 { return c.HeartbeatsPassedOver })
+	register("gate.lists_passed_over", func(c gate.Counts) int64 { return c.ListsSkipped })
+	register("gate.heartbeats_passed_over", func(c gate.Counts) int64 { return c.HeartbeatsSkipped })
 	register("gate.target_restarts", func(c gate.Counts) int64 { return c.Restarts })
 	register("gate.runs_lost", func(c gate.Counts) int64 { return c.RunsLost })
 	a.options.Metrics.Gauge("gate.evacuated", func() int64 {
--- a/node/restart_test.go
+++ b/node/restart_test.go
@@ -241,7 +241,7 @@
 	time.AfterFunc(after, func() {
 		d := a.running().driver
 		if kind == 2 {
-			d.Deregister(gate.Life{ID: last.Life, Born: last.Born})
+			d.Deregister(gate.Incarnation{ID: last.Life, Born: last.Born})
 			return
 		}
 		d.Heartbeat(heartbeatOf(last))
--- a/node/twice_test.go
+++ b/node/twice_test.go
@@ -313,14 +313,14 @@
 	pairTarget = "i-1"
 )
 
-var pairLife = gate.Life{ID: pairTarget}
+var pairLife = gate.Incarnation{ID: pairTarget}
 
 func (c *directPair) clock() int64 { return c.now.Milliseconds() }
 
 // link opens the gate and links it to the owner.
 func (c *directPair) link() {
 	c.execute(first(c.gate.OnHeartbeat(*c.now, gate.Heartbeat{
-		Life: pairLife, Service: testService, Capacity: job.Resources{CPU: 16000, Memory: 32768}, ClockMS: c.clock(), Sequence: 1,
+		Incarnation: pairLife, Service: testService, Capacity: job.Resources{CPU: 16000, Memory: 32768}, ClockMS: c.clock(), Sequence: 1,
 	})))
 	c.hold()
 	c.hold()
@@ -336,14 +336,14 @@
 
 // execute carries out the gate's orders to its target at once.
 func (c *directPair) execute(a gate.Actions) {
-	answer := gate.Answer{ClockMS: c.clock(), Life: pairLife}
+	answer := gate.Answer{ClockMS: c.clock(), Incarnation: pairLife}
 	for _, s := range a.Starts {
 		c.running[s.Name] = *c.now
-		c.execute(c.gate.OnStart(*c.now, a.Life, s, answer, nil))
+		c.execute(c.gate.OnStart(*c.now, a.Incarnation, s, answer, nil))
 	}
 	for _, s := range a.Stops {
 		delete(c.running, s.Name)
-		c.execute(c.gate.OnStop(*c.now, a.Life, s, answer, nil))
+		c.execute(c.gate.OnStop(*c.now, a.Incarnation, s, answer, nil))
 	}
 }
 
@@ -355,7 +355,7 @@
 	for name, started := range c.running {
 		lists.Running = append(lists.Running, gate.Running{Name: name, Percent: int(100 * (*c.now - started) / taskTime)})
 	}
-	c.execute(c.gate.OnHold(*c.now, h, gate.Answer{ClockMS: c.clock(), Life: pairLife}, lists, nil))
+	c.execute(c.gate.OnHold(*c.now, h, gate.Answer{ClockMS: c.clock(), Incarnation: pairLife}, lists, nil))
 }
 
 // exchange sends a frame each way, renews the lease and runs a tick of the gate.
--- a/node/virtualagent_test.go
+++ b/node/virtualagent_test.go
@@ -66,7 +66,7 @@
 	if b.count > 1 {
 		go func() {
 			wait.For(p.ctx, restoreLatency)
-			p.driver.Recall(b.storedDescription())
+			p.driver.RestoreDescription(b.storedDescription())
 		}()
 	}
 }
@@ -80,7 +80,7 @@
 		return *described
 	}
 	e := b.target.newest()
-	return gate.Description{Life: b.target.life(), Service: testService, Capacity: e.Capacity, Draining: e.Draining()}
+	return gate.Description{Incarnation: b.target.life(), Service: testService, Capacity: e.Capacity, Draining: e.Draining()}
 }
 
 // storeDescription sets the stored description of the target; nil for an accurate one.
@@ -113,7 +113,7 @@
 // heartbeatOf converts a stand-in's heartbeat for the gate.
 func heartbeatOf(b standin.Beat) gate.Heartbeat {
 	return gate.Heartbeat{
-		Life: gate.Life{ID: b.Life, Born: b.Born}, Service: testService, Capacity: b.Capacity,
+		Incarnation: gate.Incarnation{ID: b.Life, Born: b.Born}, Service: testService, Capacity: b.Capacity,
 		Draining: b.Draining, ClockMS: toTargetClock(b.ClockMS), Sequence: b.Sequence,
 	}
 }
@@ -155,7 +155,7 @@
 }
 
 // Start implements gate.Executor.Start.
-func (c *agentCalls) Start(ctx context.Context, life gate.Life, s gate.StartCall) (a gate.Answer, err error) {
+func (c *agentCalls) Start(ctx context.Context, life gate.Incarnation, s gate.StartCall) (a gate.Answer, err error) {
 	err = c.call(ctx, func() error {
 		a, err = c.box.target.Start(ctx, life, s)
 		return err
@@ -164,7 +164,7 @@
 }
 
 // Stop implements gate.Executor.Stop.
-func (c *agentCalls) Stop(ctx context.Context, life gate.Life, s gate.StopCall) (a gate.Answer, err error) {
+func (c *agentCalls) Stop(ctx context.Context, life gate.Incarnation, s gate.StopCall) (a gate.Answer, err error) {
 	err = c.call(ctx, func() error {
 		a, err = c.box.target.Stop(ctx, life, s)
 		return err
@@ -173,7 +173,7 @@
 }
 
 // Hold implements gate.Executor.Hold.
-func (c *agentCalls) Hold(ctx context.Context, life gate.Life, h gate.HoldCall) (a gate.Answer, lists gate.HoldAnswer, err error) {
+func (c *agentCalls) Hold(ctx context.Context, life gate.Incarnation, h gate.HoldCall) (a gate.Answer, lists gate.HoldAnswer, err error) {
 	err = c.call(ctx, func() error {
 		a, lists, err = c.box.target.Hold(ctx, life, h)
 		return err
--- a/node/virtualtarget_test.go
+++ b/node/virtualtarget_test.go
@@ -36,7 +36,7 @@
 
 // lateStart is a withheld start: it was neither carried out nor answered.
 type lateStart struct {
-	life gate.Life
+	life gate.Incarnation
 	call gate.StartCall
 }
 
@@ -95,16 +95,16 @@
 	dark := x.dark
 	x.mu.Unlock()
 	if !dark {
-		return gate.ErrUnreached
+		return gate.ErrUnreachable
 	}
 	<-ctx.Done()
 	return gate.ErrUnanswered
 }
 
 // life identifies the newest incarnation.
-func (x *virtualTarget) life() gate.Life {
+func (x *virtualTarget) life() gate.Incarnation {
 	e := x.newest()
-	return gate.Life{ID: e.Life, Born: e.Born}
+	return gate.Incarnation{ID: e.Life, Born: e.Born}
 }
 
 // setStops sets the fault that applies to stops.
@@ -141,7 +141,7 @@
 }
 
 // withholdTry withholds a start if it is a first try, and reports whether it did.
-func (x *virtualTarget) withholdTry(life gate.Life, c gate.StartCall) bool {
+func (x *virtualTarget) withholdTry(life gate.Incarnation, c gate.StartCall) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.tries == nil {
@@ -166,7 +166,7 @@
 func fromTargetClock(clockMS int64) int64 { return clockMS * 100 / targetClock }
 
 // Start implements gate.Executor.Start.
-func (x *virtualTarget) Start(ctx context.Context, life gate.Life, c gate.StartCall) (gate.Answer, error) {
+func (x *virtualTarget) Start(ctx context.Context, life gate.Incarnation, c gate.StartCall) (gate.Answer, error) {
 	if err := x.down(ctx); err != nil {
 		return gate.Answer{}, err
 	}
@@ -187,7 +187,7 @@
 }
 
 // Stop implements gate.Executor.Stop.
-func (x *virtualTarget) Stop(ctx context.Context, life gate.Life, c gate.StopCall) (gate.Answer, error) {
+func (x *virtualTarget) Stop(ctx context.Context, life gate.Incarnation, c gate.StopCall) (gate.Answer, error) {
 	if err := x.down(ctx); err != nil {
 		return gate.Answer{}, err
 	}
@@ -205,7 +205,7 @@
 }
 
 // Hold implements gate.Executor.Hold.
-func (x *virtualTarget) Hold(ctx context.Context, life gate.Life, c gate.HoldCall) (gate.Answer, gate.HoldAnswer, error) {
+func (x *virtualTarget) Hold(ctx context.Context, life gate.Incarnation, c gate.HoldCall) (gate.Answer, gate.HoldAnswer, error) {
 	if err := x.down(ctx); err != nil {
 		return gate.Answer{}, gate.HoldAnswer{}, err
 	}
--- a/owner/admission_test.go
+++ b/owner/admission_test.go
@@ -93,8 +93,8 @@
 	if len(f.Starts) != 1 {
 		t.Fatalf("%d starts, want 1", len(f.Starts))
 	}
-	if f.Echo == 0 || f.KeptEcho != 0 {
-		t.Errorf("echo %v, kept echo %v; want only the first", f.Echo, f.KeptEcho)
+	if f.Echo == 0 || f.DurableEcho != 0 {
+		t.Errorf("echo %v, kept echo %v; want only the first", f.Echo, f.DurableEcho)
 	}
 	refused := false
 	durable := testSubmission("00000000000000bb", 1)
--- a/owner/adopt.go
+++ b/owner/adopt.go
@@ -211,7 +211,7 @@
 // record.
 func (o *Owner) answerDone(v *gateView, t *task, s gate.RunState, doneBy int) {
 	if s.Name.Run == doneBy && s.End != 0 {
-		v.addVerdict(s.Name, gate.VerdictNote)
+		v.addVerdict(s.Name, gate.VerdictAcknowledge)
 		return
 	}
 	o.onSuperseded(v, t, s)
--- a/owner/ends.go
+++ b/owner/ends.go
@@ -16,7 +16,7 @@
 	}
 	t := j.find(s.Name.TaskName)
 	if t == nil {
-		v.addVerdict(s.Name, gate.VerdictForeign)
+		v.addVerdict(s.Name, gate.VerdictUnknown)
 		return
 	}
 	if j.phase == jobAdopting {
@@ -43,14 +43,14 @@
 	case dropped && s.End == 0:
 		v.stop(s.Name)
 	case dropped || (e != nil && e.bestEffort && s.End != 0):
-		v.addVerdict(s.Name, gate.VerdictNote)
+		v.addVerdict(s.Name, gate.VerdictAcknowledge)
 	case e == nil || e.runs == nil:
-		v.addVerdict(s.Name, gate.VerdictForeign)
+		v.addVerdict(s.Name, gate.VerdictUnknown)
 		if s.End != 0 {
 			o.foreign[s.Name.Job] = append(o.foreign[s.Name.Job], endRef{gate: v.name, name: s.Name})
 		}
 	case s.End != 0 && (e.state != job.StateCompleted || e.runs[s.Name.TaskName] == s.Name.Run):
-		v.addVerdict(s.Name, gate.VerdictNote)
+		v.addVerdict(s.Name, gate.VerdictAcknowledge)
 	default:
 		v.addVerdict(s.Name, gate.VerdictDiscard)
 	}
@@ -61,7 +61,7 @@
 	switch {
 	case s.End == gate.EndRejected || s.End == gate.EndLost:
 	case t.job.record.BestEffort && s.End != 0:
-		v.addVerdict(s.Name, gate.VerdictNote)
+		v.addVerdict(s.Name, gate.VerdictAcknowledge)
 	case s.End == gate.EndFailed && t.failureCounts(s.Name.Run):
 		o.countFailure(v, t, s.Name)
 	default:
@@ -165,7 +165,7 @@
 // of best-effort jobs are not written, so they are confirmed with the next frame.
 func (o *Owner) recordEnd(v *gateView, j *liveJob, name job.RunName) {
 	if j.record.BestEffort {
-		v.verdicts = append(v.verdicts, gate.Verdict{Name: name, Kind: gate.VerdictNote})
+		v.verdicts = append(v.verdicts, gate.Verdict{Name: name, Kind: gate.VerdictAcknowledge})
 		return
 	}
 	j.unwritten = append(j.unwritten, endRef{gate: v.name, name: name})
@@ -197,7 +197,7 @@
 	case gate.EndLost:
 		o.stats.Lost++
 	default:
-		v.addVerdict(s.Name, gate.VerdictNote)
+		v.addVerdict(s.Name, gate.VerdictAcknowledge)
 	}
 	o.enqueue(now, t)
 }
@@ -261,7 +261,7 @@
 			return
 		}
 	}
-	v.addVerdict(name, gate.VerdictNote)
+	v.addVerdict(name, gate.VerdictAcknowledge)
 }
 
 func (v *gateView) addVerdict(name job.RunName, kind gate.VerdictKind) {
@@ -282,7 +282,7 @@
 func (o *Owner) noteDurable(ends []endRef) {
 	for _, e := range ends {
 		if v := o.gates[e.gate]; v != nil {
-			v.addVerdict(e.name, gate.VerdictNote)
+			v.addVerdict(e.name, gate.VerdictAcknowledge)
 		}
 	}
 }
--- a/owner/evacuation.go
+++ b/owner/evacuation.go
@@ -7,10 +7,10 @@
 	"rackspur/gate"
 )
 
-// TakeEvacuations updates which failure domains are evacuated, as of a time on the
+// UpdateEvacuations updates which failure domains are evacuated, as of a time on the
 // owner's clock. The owner only forwards this to its gates with each frame. A gate may
 // have newer news from other owners, and its report says whether it accepts orders.
-func (o *Owner) TakeEvacuations(n evacuation.News) {
+func (o *Owner) UpdateEvacuations(n evacuation.News) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	before := o.evacuations.Domains
--- a/owner/foreign.go
+++ b/owner/foreign.go
@@ -38,7 +38,7 @@
 			continue
 		}
 		if f == nil || f.State != job.StateCompleted || f.Done[taskNumber(f.Steps, e.name.TaskName)] == e.name.Run {
-			v.addVerdict(e.name, gate.VerdictNote)
+			v.addVerdict(e.name, gate.VerdictAcknowledge)
 			continue
 		}
 		v.addVerdict(e.name, gate.VerdictDiscard)
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -53,7 +53,7 @@
 
 func testReport() gate.Report {
 	room := job.Resources{CPU: 16000, Memory: 32768}
-	return gate.Report{Life: "i-1", Service: testService, Capacity: room, Free: room, Open: true}
+	return gate.Report{TargetID: "i-1", Service: testService, Capacity: room, Free: room, Open: true}
 }
 
 // connect links a gate that has an empty inventory.
--- a/owner/restart_test.go
+++ b/owner/restart_test.go
@@ -38,7 +38,7 @@
 	}
 	r := &restartedGate{harness: b, run: f.Starts[0].Name, link: link + 1}
 	r.gate = gate.New(gate.Options{Node: restartedName, Lease: time.Second, Contact: durableContact, BestEffortContact: bestEffortContact})
-	r.gate.OnHeartbeat(b.now, gate.Heartbeat{Life: gate.Life{ID: "i-1"}, Service: testService, Capacity: job.Resources{CPU: 16000, Memory: 32768}, Sequence: 1})
+	r.gate.OnHeartbeat(b.now, gate.Heartbeat{Incarnation: gate.Incarnation{ID: "i-1"}, Service: testService, Capacity: job.Resources{CPU: 16000, Memory: 32768}, Sequence: 1})
 	r.hold()
 	r.hold()
 	if !r.gate.Connect(b.now, "entry~1", r.link, nil) {
@@ -54,7 +54,7 @@
 	h := r.gate.NextHold(r.now, 0)
 	r.now += time.Millisecond
 	lists := gate.HoldAnswer{Running: []gate.Running{{Name: r.run, Percent: 10}}}
-	return r.gate.OnHold(r.now, h, gate.Answer{ClockMS: r.now.Milliseconds(), Life: gate.Life{ID: "i-1"}}, lists, nil)
+	return r.gate.OnHold(r.now, h, gate.Answer{ClockMS: r.now.Milliseconds(), Incarnation: gate.Incarnation{ID: "i-1"}}, lists, nil)
 }
 
 // exchange carries a frame from the gate to the owner and one back.
--- a/owner/view.go
+++ b/owner/view.go
@@ -159,7 +159,7 @@
 	}
 	o.checkIsolation(o.options.Now())
 	v.sequence++
-	f = gate.OwnerFrame{Echo: o.echo(v), KeptEcho: o.durableEcho(v), Evacuations: o.evacuationsFor(o.options.Now(), v), Sequence: v.sequence, Starts: v.starts, Stops: v.stops, Verdicts: v.verdicts, Adopt: v.adopt}
+	f = gate.OwnerFrame{Echo: o.echo(v), DurableEcho: o.durableEcho(v), Evacuations: o.evacuationsFor(o.options.Now(), v), Sequence: v.sequence, Starts: v.starts, Stops: v.stops, Verdicts: v.verdicts, Adopt: v.adopt}
 	for _, s := range v.starts {
 		v.inFlight = append(v.inFlight, sentOrder{sequence: v.sequence, name: s.Name, need: s.Need})
 	}
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -37,7 +37,7 @@
 }
 
 func toOwnerFrame(f gate.OwnerFrame) *peerpb.OwnerFrame {
-	out := &peerpb.OwnerFrame{Echo: uint64(f.Echo.Microseconds()), KeptEcho: uint64(f.KeptEcho.Microseconds()), Sequence: f.Sequence, Adopt: f.Adopt, Evacuations: toEvacuations(f.Evacuations)}
+	out := &peerpb.OwnerFrame{Echo: uint64(f.Echo.Microseconds()), KeptEcho: uint64(f.DurableEcho.Microseconds()), Sequence: f.Sequence, Adopt: f.Adopt, Evacuations: toEvacuations(f.Evacuations)}
 	for _, s := range f.Starts {
 		out.Starts = append(out.Starts, &peerpb.StartOrder{
 			Name: toRunName(s.Name), Spec: s.Spec, Need: toResources(s.Need),
@@ -54,7 +54,7 @@
 }
 
 func fromOwnerFrame(f *peerpb.OwnerFrame) gate.OwnerFrame {
-	out := gate.OwnerFrame{Echo: time.Duration(f.GetEcho()) * time.Microsecond, KeptEcho: time.Duration(f.GetKeptEcho()) * time.Microsecond, Sequence: f.GetSequence(), Adopt: f.GetAdopt(), Evacuations: fromEvacuations(f.GetEvacuations())}
+	out := gate.OwnerFrame{Echo: time.Duration(f.GetEcho()) * time.Microsecond, DurableEcho: time.Duration(f.GetKeptEcho()) * time.Microsecond, Sequence: f.GetSequence(), Adopt: f.GetAdopt(), Evacuations: fromEvacuations(f.GetEvacuations())}
 	for _, s := range f.GetStarts() {
 		out.Starts = append(out.Starts, gate.Order{
 			Name: fromRunName(s.GetName()), Spec: s.GetSpec(), Need: fromResources(s.GetNeed()),
@@ -77,7 +77,7 @@
 	out := &peerpb.GateFrame{
 		Clock: uint64(f.Clock.Microseconds()), Received: f.Received, Inventory: f.Inventory, Adopted: f.Adopted,
 		Report: &peerpb.Report{
-			Executor: f.Report.Life, Service: f.Report.Service, Capacity: toResources(f.Report.Capacity),
+			Executor: f.Report.TargetID, Service: f.Report.Service, Capacity: toResources(f.Report.Capacity),
 			Free: toResources(f.Report.Free), Queued: toResources(f.Report.Queued), Labels: f.Report.Labels,
 			Open: f.Report.Open, Slowness: uint32(f.Report.Slowness * thousand), Suspect: f.Report.Suspect, Evacuated: f.Report.Evacuated,
 		},
@@ -109,7 +109,7 @@
 	out := gate.Frame{
 		Clock: time.Duration(f.GetClock()) * time.Microsecond, Received: f.GetReceived(), Inventory: f.GetInventory(), Adopted: f.GetAdopted(),
 		Report: gate.Report{
-			Life: r.GetExecutor(), Service: r.GetService(), Capacity: fromResources(r.GetCapacity()),
+			TargetID: r.GetExecutor(), Service: r.GetService(), Capacity: fromResources(r.GetCapacity()),
 			Free: fromResources(r.GetFree()), Queued: fromResources(r.GetQueued()), Labels: r.GetLabels(),
 			Open: r.GetOpen(), Slowness: float64(r.GetSlowness()) / thousand, Suspect: r.GetSuspect(), Evacuated: r.GetEvacuated(),
 		},
