--- a/gate/contact.go
+++ b/gate/contact.go
@@ -22,9 +22,9 @@
 	case !ok:
 		return true
 	case r.bestEffort:
-		return now-contact > g.options.BestEffortContact
+		return now-contact > g.options.BestEffortContactTimeout
 	}
-	return now-contact > g.options.Contact
+	return now-contact > g.options.ContactTimeout
 }
 
 // overdue reports whether a run has no owner in contact. A run that was found on the target
@@ -84,10 +84,10 @@
 	if r.acknowledged || r.discarded {
 		return
 	}
-	if r.owner != "" && now-g.contactOf(r.owner) < orphanContacts*g.options.Contact {
+	if r.owner != "" && now-g.contactOf(r.owner) < orphanContacts*g.options.ContactTimeout {
 		return
 	}
-	if r.owner == "" && now-r.foundAt < orphanContacts*g.options.Contact {
+	if r.owner == "" && now-r.foundAt < orphanContacts*g.options.ContactTimeout {
 		return
 	}
 	g.discard(now, r)
@@ -107,7 +107,7 @@
 // forgetOwners removes owners that have been silent for long and own no runs.
 func (g *Gate) forgetOwners(now Time) {
 	for name, o := range g.owners {
-		if o.open || now-max(o.contact, o.connected) < 2*orphanContacts*g.options.Contact {
+		if o.open || now-max(o.contact, o.connected) < 2*orphanContacts*g.options.ContactTimeout {
 			continue
 		}
 		if !g.ownsRuns(name) {
--- a/gate/driver_test.go
+++ b/gate/driver_test.go
@@ -52,7 +52,7 @@
 	defer cancel()
 	e := &hangingTarget{release: make(chan struct{})}
 	defer close(e.release)
-	g := New(Options{Node: "gate-1", Lease: time.Second, Contact: time.Minute, BestEffortContact: time.Minute})
+	g := New(Options{Node: "gate-1", Lease: time.Second, ContactTimeout: time.Minute, BestEffortContactTimeout: time.Minute})
 	d := NewDriver(ctx, g, e, logr.Discard())
 	go d.Run(ctx)
 	d.Heartbeat(Heartbeat{Incarnation: testIncarnation, Service: "engine", Capacity: job.Resources{CPU: 1000}, Sequence: 1})
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -33,10 +33,10 @@
 	Lease time.Duration
 	// LongestLease is the longest lease that the target grants; 0 means Lease.
 	LongestLease time.Duration
-	// Contact is how long runs of durable jobs continue without contact to their owner.
-	Contact time.Duration
-	// BestEffortContact is the same for runs of best-effort jobs.
-	BestEffortContact time.Duration
+	// ContactTimeout is how long runs of durable jobs continue without contact to their owner.
+	ContactTimeout time.Duration
+	// BestEffortContactTimeout is the same for runs of best-effort jobs.
+	BestEffortContactTimeout time.Duration
 	// Unix returns the wall-clock time in Unix milliseconds, from which fencing tokens are
 	// derived. The default is the clock of the box.
 	Unix func() int64
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -29,7 +29,7 @@
 
 func newBench(t *testing.T) *bench {
 	b := &bench{t: t, now: time.Second, clock: 100000}
-	b.gate = New(Options{Node: "gate-1", Lease: time.Second, Contact: 1400 * time.Millisecond, BestEffortContact: 850 * time.Millisecond})
+	b.gate = New(Options{Node: "gate-1", Lease: time.Second, ContactTimeout: 1400 * time.Millisecond, BestEffortContactTimeout: 850 * time.Millisecond})
 	b.heartbeat(testIncarnation, false)
 	b.hold(HoldAnswer{})
 	b.hold(HoldAnswer{})
@@ -174,7 +174,7 @@
 // A gate that has just started accepts no links before its target has listed its runs. Owners
 // would otherwise start active runs again.
 func TestNoLinkBeforeSurvey(t *testing.T) {
-	g := New(Options{Node: "gate-1", Lease: time.Second, Contact: time.Second, BestEffortContact: 850 * time.Millisecond})
+	g := New(Options{Node: "gate-1", Lease: time.Second, ContactTimeout: time.Second, BestEffortContactTimeout: 850 * time.Millisecond})
 	if g.Connect(time.Millisecond, testOwner, 1, func() {}) {
 		t.Error("link accepted before the target has listed its runs")
 	}
--- a/gate/holdload_test.go
+++ b/gate/holdload_test.go
@@ -137,7 +137,7 @@
 func holdsAtTheTarget(t *testing.T, delay func(int) time.Duration, ending time.Duration, requested bool, most int, maxGap time.Duration) {
 	ctx, cancel := context.WithCancel(t.Context())
 	x := &loadedTarget{delay: delay, ending: ending}
-	g := New(Options{Node: "gate-1", Lease: time.Second, Contact: time.Minute, BestEffortContact: time.Minute})
+	g := New(Options{Node: "gate-1", Lease: time.Second, ContactTimeout: time.Minute, BestEffortContactTimeout: time.Minute})
 	d := NewDriver(ctx, g, x, logr.Discard())
 	go d.Run(ctx)
 	d.Heartbeat(Heartbeat{Incarnation: testIncarnation, Service: "engine", Sequence: 1})
--- a/gate/lease.go
+++ b/gate/lease.go
@@ -26,9 +26,9 @@
 	if !ok {
 		return 0, false
 	}
-	by = contact + g.options.Contact + g.options.Lease
+	by = contact + g.options.ContactTimeout + g.options.Lease
 	if r.bestEffort {
-		by = contact + g.options.BestEffortContact + bestEffortGrace
+		by = contact + g.options.BestEffortContactTimeout + bestEffortGrace
 	}
 	if r.stopBy != 0 {
 		by = min(by, r.stopBy)
--- a/gate/leftover_test.go
+++ b/gate/leftover_test.go
@@ -190,7 +190,7 @@
 // it would accept links while runs of its earlier process are still active.
 func TestUnsurveyedGateExtendsNoLease(t *testing.T) {
 	b := &bench{t: t, now: 900 * time.Millisecond, clock: 100000}
-	b.gate = New(Options{Node: "gate-1", Lease: time.Second, Contact: 1400 * time.Millisecond, BestEffortContact: 850 * time.Millisecond})
+	b.gate = New(Options{Node: "gate-1", Lease: time.Second, ContactTimeout: 1400 * time.Millisecond, BestEffortContactTimeout: 850 * time.Millisecond})
 	b.heartbeat(testIncarnation, false)
 	b.hold(HoldAnswer{}) // Reads the clock only.
 	h := b.gate.NextHold(b.now, 0)
--- a/gate/name_test.go
+++ b/gate/name_test.go
@@ -74,7 +74,7 @@
 	defer cancel()
 	x := &renamedTarget{incarnation: make(chan Incarnation, 1)}
 	x.incarnation <- testIncarnation
-	d := NewDriver(ctx, New(Options{Node: "gate-1", Lease: time.Second, Contact: time.Minute, BestEffortContact: time.Minute}), x, logr.Discard())
+	d := NewDriver(ctx, New(Options{Node: "gate-1", Lease: time.Second, ContactTimeout: time.Minute, BestEffortContactTimeout: time.Minute}), x, logr.Discard())
 	go d.Run(ctx)
 	sendHeartbeat := func(incarnation Incarnation) {
 		d.Heartbeat(Heartbeat{Incarnation: incarnation, Service: "engine", Capacity: job.Resources{CPU: 1000}, Sequence: 1})
--- a/gate/recall_test.go
+++ b/gate/recall_test.go
@@ -12,7 +12,7 @@
 // restarted returns a bench whose gate has just started and recalls a description.
 func restarted(t *testing.T, d Description) *bench {
 	b := &bench{t: t, now: time.Second, clock: 100000}
-	b.gate = New(Options{Node: "gate-1", Lease: time.Second, Contact: 1400 * time.Millisecond, BestEffortContact: 850 * time.Millisecond})
+	b.gate = New(Options{Node: "gate-1", Lease: time.Second, ContactTimeout: 1400 * time.Millisecond, BestEffortContactTimeout: 850 * time.Millisecond})
 	b.gate.RestoreDescription(d)
 	return b
 }
--- a/gate/restart_test.go
+++ b/gate/restart_test.go
@@ -39,7 +39,7 @@
 func newRestartBench(t *testing.T) *restartBench {
 	b := &restartBench{bench: &bench{t: t, now: time.Second, clock: firstClockAt}, incarnation: firstIncarnation}
 	b.gate = New(Options{
-		Node: "gate-1", Lease: time.Second, Contact: 1400 * time.Millisecond, BestEffortContact: 850 * time.Millisecond,
+		Node: "gate-1", Lease: time.Second, ContactTimeout: 1400 * time.Millisecond, BestEffortContactTimeout: 850 * time.Millisecond,
 		Unix: func() int64 { return 1_796_260_000_000 + b.now.Milliseconds() },
 	})
 	for range 9 {
--- a/gate/retry_test.go
+++ b/gate/retry_test.go
@@ -133,7 +133,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	e := &lossyHolds{}
-	g := New(Options{Node: "gate-1", Lease: time.Second, Contact: time.Minute, BestEffortContact: time.Minute})
+	g := New(Options{Node: "gate-1", Lease: time.Second, ContactTimeout: time.Minute, BestEffortContactTimeout: time.Minute})
 	d := NewDriver(ctx, g, e, logr.Discard())
 	go d.Run(ctx)
 	d.Heartbeat(Heartbeat{Incarnation: testIncarnation, Service: "engine", Sequence: 1})
@@ -223,7 +223,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		e := &lateHolds{}
-		g := New(Options{Node: "gate-1", Lease: time.Second, Contact: time.Minute, BestEffortContact: time.Minute})
+		g := New(Options{Node: "gate-1", Lease: time.Second, ContactTimeout: time.Minute, BestEffortContactTimeout: time.Minute})
 		d := NewDriver(ctx, g, e, logr.Discard())
 		go d.Run(ctx)
 		d.Heartbeat(Heartbeat{Incarnation: testIncarnation, Service: "engine", Sequence: 1})
--- a/internal/standin/executorwire.go
+++ b/internal/standin/executorwire.go
@@ -168,11 +168,11 @@
 		}
 		numbers[i] = n
 	}
-	return job.TaskName{Job: job.ID(parts[0]), Time: numbers[0], Step: numbers[1], Index: numbers[2]}, nil
+	return job.TaskName{Job: job.ID(parts[0]), JobRun: numbers[0], Step: numbers[1], Index: numbers[2]}, nil
 }
 
 func formatTask(n job.TaskName) string {
-	return fmt.Sprintf("%s.%d.%d.%d", n.Job, n.Time, n.Step, n.Index)
+	return fmt.Sprintf("%s.%d.%d.%d", n.Job, n.JobRun, n.Step, n.Index)
 }
 
 func statusOnWire(err error) (status int, reason string) {
--- a/job/job.go
+++ b/job/job.go
@@ -49,10 +49,10 @@
 // TaskName identifies a task by its step, its index within the step, and the number of
 // the job's run.
 type TaskName struct {
-	Job   ID
-	Time  int
-	Step  int
-	Index int
+	Job    ID
+	JobRun int
+	Step   int
+	Index  int
 }
 
 // RunName identifies a run of a task. The numbers of a task's runs increase from 1.
--- a/node/contact.go
+++ b/node/contact.go
@@ -58,17 +58,17 @@
 
 // gateOptions returns the options of an agent's gate.
 func gateOptions(o Options, incarnation string) gate.Options {
-	return gate.Options{Node: o.Node, Incarnation: incarnation, Domain: o.Zone, Service: o.Service, Lease: o.lease(), LongestLease: o.MaxHold, Contact: contactTimeout, BestEffortContact: o.bestEffortContactTimeout()}
+	return gate.Options{Node: o.Node, Incarnation: incarnation, Domain: o.Zone, Service: o.Service, Lease: o.lease(), LongestLease: o.MaxHold, ContactTimeout: contactTimeout, BestEffortContactTimeout: o.bestEffortContactTimeout()}
 }
 
 // ownerOptions returns the options of the owner of an incarnation.
 func (e *Entry) ownerOptions(incarnation string) owner.Options {
 	o := &e.options
 	return owner.Options{
-		Incarnation: incarnation, Parts: o.Parts, Contact: contactTimeout, BestEffortContact: o.bestEffortContactTimeout(), Lease: o.lease(),
+		Incarnation: incarnation, Parts: o.Parts, ContactTimeout: contactTimeout, BestEffortContactTimeout: o.bestEffortContactTimeout(), Lease: o.lease(),
 		KeepFinished: o.KeepFinished, Log: e.log, Policy: o.Policy,
 		Now:       func() time.Duration { return time.Since(e.started) },
 		WallClock: time.Now,
-		Ended:     func(took time.Duration) { o.Metrics.Time(metricJobTime, took.Microseconds()) },
+		OnJobEnd:  func(took time.Duration) { o.Metrics.Time(metricJobTime, took.Microseconds()) },
 	}
 }
--- a/node/contact_test.go
+++ b/node/contact_test.go
@@ -30,8 +30,8 @@
 	for _, resubmit := range []time.Duration{1300 * time.Millisecond, 2 * time.Second, 3 * time.Second, 5 * time.Second} {
 		o := Options{Resubmit: resubmit, MaxHold: time.Second}
 		g := gateOptions(o, "a~1")
-		over := g.Contact + g.Lease*103/100 + 250*time.Millisecond
-		if most := sinceHeard + g.BestEffortContact + lapse; most > over {
+		over := g.ContactTimeout + g.Lease*103/100 + 250*time.Millisecond
+		if most := sinceHeard + g.BestEffortContactTimeout + lapse; most > over {
 			t.Errorf("resubmission after %v: runs continue for %v after the last frame of their gate, owners replace them after %v", resubmit, most, over)
 		}
 	}
--- a/node/entry.go
+++ b/node/entry.go
@@ -232,7 +232,7 @@
 	e.hubs.invalidate()
 	if t := e.current.Load(); t != nil {
 		t.fleet.Lost(node)
-		t.owner.SetEntries(t.fleet.Entries())
+		t.owner.SetOwners(t.fleet.Entries())
 	}
 }
 
@@ -273,7 +273,7 @@
 // Ready reports whether the box should receive new connections.
 func (e *Entry) Ready() bool {
 	t := e.current.Load()
-	return t != nil && !e.stopping.Load() && e.routes.Current() != nil && t.owner.Alive() && t.links.Linked() > 0
+	return t != nil && !e.stopping.Load() && e.routes.Current() != nil && t.owner.Running() && t.links.Linked() > 0
 }
 
 // Stop makes the box unready, waits until its jobs have ended or the context ends, and
@@ -286,7 +286,7 @@
 	}
 	ticker := time.NewTicker(tickPause)
 	defer ticker.Stop()
-	for t.owner.Live() > 0 && ctx.Err() == nil {
+	for t.owner.LiveJobs() > 0 && ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
--- a/node/jobs.go
+++ b/node/jobs.go
@@ -22,7 +22,7 @@
 	case r := <-result:
 		return r
 	case <-ctx.Done():
-		return t.owner.GiveUp(s.ID)
+		return t.owner.AbandonSubmit(s.ID)
 	}
 }
 
@@ -43,7 +43,7 @@
 	case r := <-result:
 		return r
 	case <-ctx.Done():
-		t.owner.Leave(s.ID, ticket)
+		t.owner.RemoveCaller(s.ID, ticket)
 		return <-result
 	}
 }
--- a/node/seek_test.go
+++ b/node/seek_test.go
@@ -24,7 +24,7 @@
 		t.Errorf("%d entry boxes invited, want the 2 that run", n)
 	}
 	for i := range 2 {
-		c.until("the invited gate is known", func() bool { return c.entry(i).current.Load().owner.Knows("agent-lonely") })
+		c.until("the invited gate is known", func() bool { return c.entry(i).current.Load().owner.HasGate("agent-lonely") })
 	}
 	linked := []string{c.entry(0).Incarnation()}
 	if n := s.seek(t.Context(), linked); n != 1 {
--- a/node/takeover.go
+++ b/node/takeover.go
@@ -180,7 +180,7 @@
 // records in the store say.
 func (t *term) resolveForeign() {
 	for t.ctx.Err() == nil {
-		for _, id := range t.owner.TakeForeign() {
+		for _, id := range t.owner.UnknownJobs() {
 			ctx, cancel := context.WithTimeout(t.ctx, readTimeout)
 			t.resolveForeignEnd(ctx, id)
 			cancel()
@@ -197,11 +197,11 @@
 		return
 	}
 	if record != nil {
-		t.owner.JudgeForeign(id, false, nil)
+		t.owner.AnswerUnknown(id, false, nil)
 		return
 	}
 	final, err := t.entry.readFinal(ctx, id)
 	if err == nil {
-		t.owner.JudgeForeign(id, true, final)
+		t.owner.AnswerUnknown(id, true, final)
 	}
 }
--- a/node/term.go
+++ b/node/term.go
@@ -101,20 +101,20 @@
 		t.owner.AddGate(b.Node, b.Zone)
 	}
 	t.fleet.Found(b)
-	t.owner.SetEntries(t.fleet.Entries())
+	t.owner.SetOwners(t.fleet.Entries())
 }
 
 // fenced ends the incarnation: another box may have taken over its jobs.
 func (t *term) fenced() {
 	t.endOnce.Do(func() {
 		t.log.Info("Incarnation fenced by another box.", "incarnation", t.box.Incarnation)
-		t.owner.End()
+		t.owner.Stop()
 		t.end()
 	})
 }
 
 func (t *term) renewed(sent time.Time) {
-	t.owner.Renewed(sent.Add(member.Lease).Sub(t.entry.started))
+	t.owner.RenewLease(sent.Add(member.Lease).Sub(t.entry.started))
 }
 
 // run runs the incarnation until it ends.
@@ -177,7 +177,7 @@
 	t.renewMu.Lock()
 	defer t.renewMu.Unlock()
 	t.released = true
-	t.owner.End()
+	t.owner.Stop()
 	if t.writers.Load() == nil {
 		t.end()
 		return
--- a/node/twice_test.go
+++ b/node/twice_test.go
@@ -73,7 +73,7 @@
 	sweep(t, func(s *virtualSite, offset time.Duration) {
 		s.submitBestEffort()
 		leave := func() {
-			s.entries[0].owner.End()
+			s.entries[0].owner.Stop()
 			s.entries[0].kill()
 		}
 		s.play(playTime, event{0, leave}, event{offset, s.agents[1].kill})
@@ -288,7 +288,7 @@
 		t.Fatalf("%d tasks placed before the caller left, want 3", placed)
 	}
 	left := now
-	o.Leave(s.ID, ticket)
+	o.RemoveCaller(s.ID, ticket)
 	for now < left+defaultBounds.resubmit {
 		c.exchange()
 	}
--- a/node/virtualentry_test.go
+++ b/node/virtualentry_test.go
@@ -110,7 +110,7 @@
 // renew renews the owner's lease.
 func (b *entryBox) renew(e *Entry) {
 	for b.awake.pass(b.ctx) {
-		b.owner.Renewed(time.Since(e.started) + member.Lease)
+		b.owner.RenewLease(time.Since(e.started) + member.Lease)
 		wait.For(b.ctx, member.RenewPause)
 	}
 }
@@ -187,6 +187,6 @@
 	}
 	wait.For(b.ctx, b.delays().notice)
 	if b.awake.pass(b.ctx) {
-		b.owner.Leave(id, ticket)
+		b.owner.RemoveCaller(id, ticket)
 	}
 }
--- a/owner/admission.go
+++ b/owner/admission.go
@@ -106,8 +106,8 @@
 	j.urgency = j.startBy + time.Duration(j.record.Queue.Priority)*priorityStep
 }
 
-// SetEntries sets the number of owners that share the targets.
-func (o *Owner) SetEntries(n int) {
+// SetOwners sets the number of owners that share the targets.
+func (o *Owner) SetOwners(n int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.owners = max(1, n)
--- a/owner/besteffort.go
+++ b/owner/besteffort.go
@@ -54,9 +54,9 @@
 	return c.ticket
 }
 
-// Leave removes a caller that no longer waits and calls its result if that was not
+// RemoveCaller removes a caller that no longer waits and calls its result if that was not
 // called yet. A best-effort job without callers is dropped.
-func (o *Owner) Leave(id job.ID, ticket uint64) {
+func (o *Owner) RemoveCaller(id job.ID, ticket uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	j := o.jobs[id]
--- a/owner/foreign.go
+++ b/owner/foreign.go
@@ -5,9 +5,9 @@
 	"rackspur/job"
 )
 
-// TakeForeign returns the jobs that this owner does not know but gates have reported
+// UnknownJobs returns the jobs that this owner does not know but gates have reported
 // ends of. Their final records decide on these ends; see JudgeForeign.
-func (o *Owner) TakeForeign() []job.ID {
+func (o *Owner) UnknownJobs() []job.ID {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	ids := make([]job.ID, 0, len(o.foreign))
@@ -21,10 +21,10 @@
 	return ids
 }
 
-// JudgeForeign sends the verdicts on the ends of a job that this owner does not know.
+// AnswerUnknown sends the verdicts on the ends of a job that this owner does not know.
 // If the job has not ended, its ends are left to its owner. A job without a final
 // record was a best-effort job: its ends do not matter.
-func (o *Owner) JudgeForeign(id job.ID, over bool, f *job.Final) {
+func (o *Owner) AnswerUnknown(id job.ID, over bool, f *job.Final) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	ends := o.foreign[id]
--- a/owner/isolation.go
+++ b/owner/isolation.go
@@ -17,7 +17,7 @@
 // than gates let its runs go on. It must be called before anything that could start a
 // task.
 func (o *Owner) checkIsolation(now Time) {
-	if now-o.lastContact <= o.options.BestEffortContact {
+	if now-o.lastContact <= o.options.BestEffortContactTimeout {
 		return
 	}
 	for _, j := range o.jobs {
--- a/owner/live.go
+++ b/owner/live.go
@@ -174,7 +174,7 @@
 
 // find returns a task by name, or nil.
 func (j *liveJob) find(name job.TaskName) *task {
-	if name.Time != 0 || name.Step < 0 || name.Step >= len(j.record.Steps) {
+	if name.JobRun != 0 || name.Step < 0 || name.Step >= len(j.record.Steps) {
 		return nil
 	}
 	first := 0
--- a/owner/log.go
+++ b/owner/log.go
@@ -73,7 +73,7 @@
 }
 
 func (o *Owner) observeEnd(took time.Duration) {
-	if o.options.Ended != nil {
-		o.options.Ended(took)
+	if o.options.OnJobEnd != nil {
+		o.options.OnJobEnd(took)
 	}
 }
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -47,11 +47,11 @@
 	Incarnation string
 	// Parts is the number of partitions of the store that jobs are spread over.
 	Parts int
-	// Contact is how long a gate lets runs of durable jobs go on without contact to the
+	// ContactTimeout is how long a gate lets runs of durable jobs go on without contact to the
 	// owner.
-	Contact time.Duration
-	// BestEffortContact is the same for runs of best-effort jobs.
-	BestEffortContact time.Duration
+	ContactTimeout time.Duration
+	// BestEffortContactTimeout is the same for runs of best-effort jobs.
+	BestEffortContactTimeout time.Duration
 	// Lease is the longest lease that gates request.
 	Lease time.Duration
 	// KeepFinished is how long the state of an ended job can be queried.
@@ -60,8 +60,8 @@
 	// Policy makes the decisions that operators can program; nil selects the built-in
 	// ones.
 	Policy Policy
-	// Ended is called with the time from each job's arrival to its end; may be nil.
-	Ended func(took time.Duration)
+	// OnJobEnd is called with the time from each job's arrival to its end; may be nil.
+	OnJobEnd func(took time.Duration)
 	// Now returns the time on the owner's monotonic clock.
 	Now func() Time
 	// WallClock returns the time of day. It is used in records only.
@@ -157,8 +157,8 @@
 	}
 }
 
-// Renewed records that the owner's lease is valid until the given time.
-func (o *Owner) Renewed(until Time) {
+// RenewLease records that the owner's lease is valid until the given time.
+func (o *Owner) RenewLease(until Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	lapsed := o.leaseUntil < o.options.Now()
@@ -170,10 +170,10 @@
 	}
 }
 
-// End makes the owner stop for good: its incarnation is fenced, or its process shuts
+// Stop makes the owner stop for good: its incarnation is fenced, or its process shuts
 // down. Callers of best-effort jobs are answered and may submit their jobs elsewhere;
 // gates stop the runs once they lose contact with the owner.
-func (o *Owner) End() {
+func (o *Owner) Stop() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.stopped = true
@@ -198,15 +198,15 @@
 	return o.active(o.options.Now())
 }
 
-// Alive reports whether End has not been called yet.
-func (o *Owner) Alive() bool {
+// Running reports whether End has not been called yet.
+func (o *Owner) Running() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return !o.stopped
 }
 
-// Live returns the number of jobs that have not ended.
-func (o *Owner) Live() int {
+// LiveJobs returns the number of jobs that have not ended.
+func (o *Owner) LiveJobs() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.jobs)
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -42,12 +42,12 @@
 func newHarness(t *testing.T) *harness {
 	b := &harness{t: t, writer: &fakeWriter{}, now: time.Second}
 	b.owner = New(Options{
-		Incarnation: "entry~1", Parts: 1, Contact: 1400 * time.Millisecond, BestEffortContact: 850 * time.Millisecond, Lease: time.Second,
+		Incarnation: "entry~1", Parts: 1, ContactTimeout: 1400 * time.Millisecond, BestEffortContactTimeout: 850 * time.Millisecond, Lease: time.Second,
 		KeepFinished: 2 * time.Minute, Log: logr.Discard(),
 		Now:       func() Time { return b.now },
 		WallClock: func() time.Time { return time.Unix(1700000000, 0) },
 	}, b.writer)
-	b.owner.Renewed(time.Hour)
+	b.owner.RenewLease(time.Hour)
 	return b
 }
 
--- a/owner/restart_test.go
+++ b/owner/restart_test.go
@@ -37,7 +37,7 @@
 		b.t.Fatalf("%d starts, want 1", len(f.Starts))
 	}
 	r := &restartedGate{harness: b, run: f.Starts[0].Name, link: link + 1}
-	r.gate = gate.New(gate.Options{Node: restartedName, Lease: time.Second, Contact: durableContact, BestEffortContact: bestEffortContact})
+	r.gate = gate.New(gate.Options{Node: restartedName, Lease: time.Second, ContactTimeout: durableContact, BestEffortContactTimeout: bestEffortContact})
 	r.gate.OnHeartbeat(b.now, gate.Heartbeat{Incarnation: gate.Incarnation{ID: "i-1"}, Service: testService, Capacity: job.Resources{CPU: 16000, Memory: 32768}, Sequence: 1})
 	r.hold()
 	r.hold()
--- a/owner/shortage.go
+++ b/owner/shortage.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// Short reports whether tasks are waiting because the linked gates have no room.
-func (o *Owner) Short() bool {
+// ShortOfRoom reports whether tasks are waiting because the linked gates have no room.
+func (o *Owner) ShortOfRoom() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.shortSince != 0 && o.options.Now()-o.shortSince > shortAfter
--- a/owner/submit.go
+++ b/owner/submit.go
@@ -121,10 +121,10 @@
 	j.submitters = nil
 }
 
-// GiveUp ends the wait for the result of a submission. It returns SubmitRefused if the
+// AbandonSubmit ends the wait for the result of a submission. It returns SubmitRefused if the
 // insert could be withdrawn before it was sent to the store, SubmitAccepted if the job
 // is live, and SubmitUnknown otherwise.
-func (o *Owner) GiveUp(id job.ID) SubmitResult {
+func (o *Owner) AbandonSubmit(id job.ID) SubmitResult {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	j := o.jobs[id]
--- a/owner/view.go
+++ b/owner/view.go
@@ -55,8 +55,8 @@
 	o.view(name).domain = domain
 }
 
-// Knows reports whether a gate is a member or has asked for a link.
-func (o *Owner) Knows(name string) bool {
+// HasGate reports whether a gate is a member or has asked for a link.
+func (o *Owner) HasGate(name string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.gates[name] != nil
@@ -117,8 +117,8 @@
 	v.wake = nil
 }
 
-// Heard returns the time since a gate was last heard from.
-func (o *Owner) Heard(name string) time.Duration {
+// SinceHeard returns the time since a gate was last heard from.
+func (o *Owner) SinceHeard(name string) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	v := o.gates[name]
@@ -272,5 +272,5 @@
 // overAfter returns how long after a gate was last heard from its runs are over: it has
 // stopped them after the contact time, or their lease has expired after it.
 func (o *Owner) overAfter() time.Duration {
-	return o.options.Contact + o.options.Lease*103/100 + presumeMargin
+	return o.options.ContactTimeout + o.options.Lease*103/100 + presumeMargin
 }
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -18,12 +18,12 @@
 }
 
 func toRunName(n job.RunName) *peerpb.RunName {
-	return &peerpb.RunName{Job: string(n.Job), Time: uint32(n.Time), Step: uint32(n.Step), Index: uint32(n.Index), Run: uint32(n.Run)}
+	return &peerpb.RunName{Job: string(n.Job), Time: uint32(n.JobRun), Step: uint32(n.Step), Index: uint32(n.Index), Run: uint32(n.Run)}
 }
 
 func fromRunName(n *peerpb.RunName) job.RunName {
 	return job.RunName{
-		TaskName: job.TaskName{Job: job.ID(n.GetJob()), Time: int(n.GetTime()), Step: int(n.GetStep()), Index: int(n.GetIndex())},
+		TaskName: job.TaskName{Job: job.ID(n.GetJob()), JobRun: int(n.GetTime()), Step: int(n.GetStep()), Index: int(n.GetIndex())},
 		Run:      int(n.GetRun()),
 	}
 }
--- a/peer/fleet.go
+++ b/peer/fleet.go
@@ -30,8 +30,8 @@
 
 // Needs reports why an owner needs gates beyond its share.
 type Needs interface {
-	// Short reports whether tasks wait because the linked gates have no capacity left.
-	Short() bool
+	// ShortOfRoom reports whether tasks wait because the linked gates have no capacity left.
+	ShortOfRoom() bool
 	// Adopting reports whether the owner is taking over jobs, whose runs may be at any gate.
 	Adopting() bool
 	// Busy reports whether the owner has runs at a gate or frames to send to it.
@@ -221,7 +221,7 @@
 	switch {
 	case f.belowHalf(now):
 		f.raiseExtra(now, min(most, f.extra+max(1, own/2)))
-	case f.needs.Short():
+	case f.needs.ShortOfRoom():
 		f.raiseExtra(now, min(most, max(f.extra, own)))
 	case f.extra > 0 && now.Sub(f.extraUsed) > keepExtraFor:
 		f.extra = 0
--- a/peer/fleet_test.go
+++ b/peer/fleet_test.go
@@ -54,7 +54,7 @@
 	busy            map[string]bool
 }
 
-func (n *testNeeds) Short() bool           { return n.short }
+func (n *testNeeds) ShortOfRoom() bool     { return n.short }
 func (n *testNeeds) Adopting() bool        { return n.adopting }
 func (n *testNeeds) Busy(gate string) bool { return n.busy[gate] }
 
--- a/peer/links.go
+++ b/peer/links.go
@@ -39,7 +39,7 @@
 
 // Owner is the owner whose links are kept.
 type Owner interface {
-	Alive() bool
+	Running() bool
 	LinkUp(gate string, link uint64, wake func())
 	LinkDown(gate string, link uint64)
 	Flush(gate string, link uint64) (gate.OwnerFrame, bool)
@@ -187,7 +187,7 @@
 	backoff := minBackoff
 	var lost time.Time
 	for try := 0; ctx.Err() == nil; try++ {
-		if !l.owner.Alive() {
+		if !l.owner.Running() {
 			wait.For(ctx, minBackoff)
 			continue
 		}
--- a/peer/links_test.go
+++ b/peer/links_test.go
@@ -17,7 +17,7 @@
 // linkedOwner is an owner that counts the frames it receives.
 type linkedOwner struct{ frames atomic.Int32 }
 
-func (*linkedOwner) Alive() bool                                  { return true }
+func (*linkedOwner) Running() bool                                { return true }
 func (*linkedOwner) LinkUp(string, uint64, func())                {}
 func (*linkedOwner) LinkDown(string, uint64)                      {}
 func (*linkedOwner) Flush(string, uint64) (gate.OwnerFrame, bool) { return gate.OwnerFrame{}, true }
