--- a/gate/contact.go
+++ b/gate/contact.go
@@ -94,7 +94,8 @@
 	g.advanceSeen()
 }
 
-// orphanContacts is how long an end waits for a new owner, in multiples of Options.Contact.
+// orphanContacts is how long an end waits for a new owner, in multiples of
+// Options.ContactTimeout.
 const orphanContacts = 5
 
 func (g *Gate) contactOf(owner string) Time {
--- a/gate/driver.go
+++ b/gate/driver.go
@@ -124,7 +124,7 @@
 	return h
 }
 
-// doubt records that a hold is overdue; see Gate.Doubt.
+// doubt records that a hold is overdue; see Gate.SuspectRestart.
 func (d *Driver) doubt() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -233,7 +233,8 @@
 // Described returns the channel on which new descriptions of the target are delivered.
 func (d *Driver) Described() <-chan Description { return d.described }
 
-// RestoreDescription provides the description stored by an earlier process; see Gate.RestoreDescription.
+// RestoreDescription provides the description stored by an earlier process; see
+// Gate.RestoreDescription.
 func (d *Driver) RestoreDescription(known Description) {
 	d.do(func(_ Time, g *Gate) Actions { return g.RestoreDescription(known) })
 }
@@ -309,8 +310,8 @@
 	d.gate.OnReport(changed)
 }
 
-// Reported returns how often the report has changed.
-func (d *Driver) Reported() uint64 {
+// ReportVersion returns how often the report has changed.
+func (d *Driver) ReportVersion() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.gate.Reported()
--- a/gate/event.go
+++ b/gate/event.go
@@ -50,8 +50,8 @@
 	Cause string
 	// Skipped describes a skipped message.
 	Skipped SkippedMessage
-	// Incarnation is the target's new incarnation, Former the previous one, and AtWork the number of
-	// runs that were active at the restart.
+	// Incarnation is the target's new incarnation, Former the previous one, and ActiveRuns the
+	// number of runs that were active at the restart.
 	Incarnation, Former Incarnation
 	ActiveRuns          int
 }
--- a/gate/hold.go
+++ b/gate/hold.go
@@ -243,11 +243,11 @@
 	return len(g.listed) > 0
 }
 
-// Confirmed reports whether the current incarnation is not in doubt.
+// Confirmed reports whether nothing suggests that the target has restarted.
 func (g *Gate) Confirmed() bool { return g.confirmed }
 
-// SuspectRestart records that the target may have restarted, for example because a hold is overdue. Only
-// a hold that is sent from now on resolves the doubt.
+// SuspectRestart records that the target may have restarted, for example because a hold is
+// overdue. Only a hold that is sent from now on resolves the suspicion.
 func (g *Gate) SuspectRestart(now Time) {
 	g.confirmed = false
 	g.confirmedBy = max(g.confirmedBy, now)
--- a/gate/incarnation.go
+++ b/gate/incarnation.go
@@ -6,7 +6,7 @@
 	"rackspur/job"
 )
 
-// Incarnation identifies one incarnation of the target, from its start to its end. A restarted target
+// Incarnation identifies a process of the target from its start to its end. A restarted target
 // may keep its id, but all its counters start anew. Incarnations are compared by both fields
 // and by nothing else.
 type Incarnation struct {
@@ -61,7 +61,7 @@
 	listedMS int64
 	// confirmed is set while nothing suggests a restart: no other incarnation has sent a
 	// heartbeat under the id, and no hold is overdue or has failed. confirmedBy is when the
-	// newest hold that delivered lists was sent, or when the doubt began.
+	// newest hold that delivered lists was sent, or when a restart was first suspected.
 	confirmed   bool
 	confirmedBy Time
 	// runsListed is set once the target has listed the runs left by earlier processes of this
--- a/gate/lease.go
+++ b/gate/lease.go
@@ -6,8 +6,8 @@
 // expiry of the lease ends them, so it must not extend beyond the time by which any run has to
 // have ended: mustEndBy returns that time for a run, leaseBound the earliest over all runs.
 const (
-	// bestEffortGrace is how long after BestEffortContact a best-effort run may still be active
-	// if its stop is not carried out or the gate fails.
+	// bestEffortGrace is how long after BestEffortContactTimeout a best-effort run may still be
+	// active if its stop is not carried out or the gate fails.
 	bestEffortGrace = 400 * time.Millisecond
 	// minStartLease is the shortest lease worth starting a run with: an unanswered start is
 	// retried for orderTimeout.
--- a/gate/leftover_test.go
+++ b/gate/leftover_test.go
@@ -358,7 +358,7 @@
 	}
 }
 
-// An owner that takes over jobs may declare their runs foreign before it has read the jobs. The
+// An owner that takes over jobs may declare their runs unknown before it has read the jobs. The
 // runs continue.
 func TestForeignWordStopsNoAdoptedRun(t *testing.T) {
 	b := newBench(t)
--- a/gate/recall.go
+++ b/gate/recall.go
@@ -27,7 +27,7 @@
 	return Description{Incarnation: g.current, Service: g.service, Capacity: g.capacity, Labels: g.labels, Draining: g.draining}, g.known
 }
 
-// TakeDescription returns the description if it differs from the one last taken or recalled.
+// TakeDescription returns the description if it differs from the one last taken or restored.
 func (g *Gate) TakeDescription() (d Description, changed bool) {
 	d, known := g.Description()
 	if !known || d.Equal(g.published) {
@@ -37,8 +37,8 @@
 	return d, true
 }
 
-// RestoreDescription provides the description stored by an earlier process of this gate. It takes effect
-// once the incarnation that it names has answered a call.
+// RestoreDescription provides the description stored by an earlier process of this gate. It
+// takes effect once the incarnation that it names has answered a call.
 func (g *Gate) RestoreDescription(d Description) Actions {
 	if g.known || !d.named() || g.endedIncarnations[d.Incarnation] {
 		return Actions{}
@@ -51,7 +51,7 @@
 	return Actions{HoldNow: true}
 }
 
-// confirmRecalled applies the recalled description if it is of the current incarnation.
+// confirmRecalled applies the restored description if it is of the current incarnation.
 func (g *Gate) confirmRecalled() {
 	d := g.recalled
 	if g.known || !d.named() || d.Incarnation != g.current {
--- a/gate/recall_test.go
+++ b/gate/recall_test.go
@@ -9,7 +9,7 @@
 
 var recalled = Description{Incarnation: testIncarnation, Service: "engine", Capacity: job.Resources{CPU: 16000, Memory: 32768}, Labels: []string{"r1"}}
 
-// restarted returns a bench whose gate has just started and recalls a description.
+// restarted returns a bench whose gate has just started and restores a description.
 func restarted(t *testing.T, d Description) *bench {
 	b := &bench{t: t, now: time.Second, clock: 100000}
 	b.gate = New(Options{Node: "gate-1", Lease: time.Second, ContactTimeout: 1400 * time.Millisecond, BestEffortContactTimeout: 850 * time.Millisecond})
@@ -17,7 +17,7 @@
 	return b
 }
 
-// A recalled description takes effect as soon as the incarnation that it names has answered.
+// A restored description takes effect as soon as the incarnation that it names has answered.
 func TestRecallOpensGate(t *testing.T) {
 	b := restarted(t, recalled)
 	if b.gate.Open(b.now) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// A recalled incarnation that rejects a call is not the target's current one.
+// A restored incarnation that rejects a call is not the target's current one.
 func TestRecallOfOtherLife(t *testing.T) {
 	b := restarted(t, recalled)
 	h := b.gate.NextHold(b.now, 0)
@@ -49,8 +49,8 @@
 	}
 }
 
-// A recalled target that drains gets no orders, and a heartbeat takes precedence over a
-// description recalled later.
+// A target whose restored description says draining gets no orders, and a heartbeat takes
+// precedence over a description restored later.
 func TestRecallOfDrainingAndLate(t *testing.T) {
 	draining := recalled
 	draining.Draining = true
--- a/gate/target.go
+++ b/gate/target.go
@@ -8,7 +8,7 @@
 	"rackspur/job"
 )
 
-// Errors returned by an Executor.
+// Errors returned by a Target.
 var (
 	// ErrNoRoom: the target has no room for the run.
 	ErrNoRoom = eris.New("gate: executor has no room")
--- a/member/life.go
+++ b/member/life.go
@@ -17,8 +17,8 @@
 const (
 	// Lease is how long an owner may give orders after it has renewed its lease.
 	Lease = 1500 * time.Millisecond
-	// RenewPause is the time between two renewals.
-	RenewPause = 350 * time.Millisecond
+	// RenewInterval is the time between two renewals.
+	RenewInterval = 350 * time.Millisecond
 	// expiryMargin is added to the lease before others consider a life ended.
 	expiryMargin = 100 * time.Millisecond
 )
--- a/member/life_test.go
+++ b/member/life_test.go
@@ -25,7 +25,7 @@
 }
 
 // poll returns the lives that have ended, as if those seen had been unchanged for age.
-func poll(t *testing.T, w *Watcher, age time.Duration) []Over {
+func poll(t *testing.T, w *Watcher, age time.Duration) []EndedLife {
 	t.Helper()
 	if _, err := w.Poll(context.Background()); err != nil {
 		t.Fatal(err)
--- a/member/lives.go
+++ b/member/lives.go
@@ -16,7 +16,7 @@
 
 // FollowLives calls found for each life in the store until the context ends. A life shows
 // that the deployment stores jobs. parts is the number of parts that jobs are spread over.
-func FollowLives(ctx context.Context, s rowstore.Store, parts int, found func(), unreadable *observe.Unreadable, log logr.Logger) {
+func FollowLives(ctx context.Context, s rowstore.Store, parts int, found func(), unreadable *observe.UnreadableLog, log logr.Logger) {
 	handle := func(row rowstore.Row) {
 		if _, err := decodeLife(row); err != nil {
 			unreadable.Note(tableLives, row.Name, err.Error())
@@ -25,7 +25,7 @@
 		found()
 	}
 	f := rowstore.Follower{
-		Store: s, Table: tableLives, Log: log, Wait: livesWait, Gather: followGather,
+		Store: s, Table: tableLives, Log: log, Wait: livesWait, BatchDelay: followGather,
 		Parts: ring{parts: parts}.allParts(),
 		Change: func(row rowstore.Row) {
 			if !row.Gone {
--- a/member/member.go
+++ b/member/member.go
@@ -93,11 +93,11 @@
 
 // Follow calls found for each box in the store, now or later, and lost with the node of each
 // box whose row was deleted, until the context ends.
-func Follow(ctx context.Context, s rowstore.Store, found func(Box), lost func(node string), unreadable *observe.Unreadable, log logr.Logger) {
+func Follow(ctx context.Context, s rowstore.Store, found func(Box), lost func(node string), unreadable *observe.UnreadableLog, log logr.Logger) {
 	t := newTracker(found, lost, unreadable)
 	f := rowstore.Follower{
-		Store: s, Table: tableMembers, Parts: allParts(), Log: log, Wait: followWait, Gather: followGather,
-		Anew: t.restart, Change: t.change, Confirmed: t.confirmed,
+		Store: s, Table: tableMembers, Parts: allParts(), Log: log, Wait: followWait, BatchDelay: followGather,
+		OnReread: t.restart, Change: t.change, Confirmed: t.confirmed,
 	}
 	f.Run(ctx)
 }
@@ -106,14 +106,14 @@
 type tracker struct {
 	found      func(Box)
 	lost       func(node string)
-	unreadable *observe.Unreadable
+	unreadable *observe.UnreadableLog
 	// known maps the nodes that were found and not lost to the versions of their rows.
 	known map[string]uint64
 	// seen holds the nodes found since rereading the table began; nil while it is not reread.
 	seen map[string]bool
 }
 
-func newTracker(found func(Box), lost func(node string), unreadable *observe.Unreadable) *tracker {
+func newTracker(found func(Box), lost func(node string), unreadable *observe.UnreadableLog) *tracker {
 	return &tracker{found: found, lost: lost, known: map[string]uint64{}, unreadable: unreadable}
 }
 
@@ -166,7 +166,7 @@
 }
 
 // ReadBoxes reads the rows of all boxes; it retries until that succeeds or the context ends.
-func ReadBoxes(ctx context.Context, s rowstore.Store, unreadable *observe.Unreadable) ([]Box, error) {
+func ReadBoxes(ctx context.Context, s rowstore.Store, unreadable *observe.UnreadableLog) ([]Box, error) {
 	rows, err := rowstore.ScanAll(ctx, s, tableMembers, allParts())
 	if err != nil {
 		return nil, err
--- a/member/pending.go
+++ b/member/pending.go
@@ -9,7 +9,7 @@
 
 // ReadPending returns the number of waiting jobs by queue, summed over all lives but the
 // caller's own. parts is the number of parts that jobs are spread over.
-func ReadPending(ctx context.Context, s rowstore.Store, parts int, own string, unreadable *observe.Unreadable) (map[string]int, error) {
+func ReadPending(ctx context.Context, s rowstore.Store, parts int, own string, unreadable *observe.UnreadableLog) (map[string]int, error) {
 	rows, err := rowstore.ScanAll(ctx, s, tableLives, ring{parts: parts}.allParts())
 	if err != nil {
 		return nil, err
--- a/member/ring_test.go
+++ b/member/ring_test.go
@@ -35,7 +35,7 @@
 		var boxCtx context.Context
 		boxCtx, b.end = context.WithCancel(ctx)
 		go func() {
-			for wait.For(boxCtx, RenewPause); boxCtx.Err() == nil; wait.For(boxCtx, RenewPause) {
+			for wait.For(boxCtx, RenewInterval); boxCtx.Err() == nil; wait.For(boxCtx, RenewInterval) {
 				if _, err := b.life.Renew(boxCtx, nil); err != nil {
 					t.Errorf("%s: %v", d.Node, err)
 				}
@@ -74,7 +74,7 @@
 				renewals[b.life.key().Part]++
 			}
 			for part, n := range renewals {
-				if perSecond := float64(n) / RenewPause.Seconds(); perSecond > 150 {
+				if perSecond := float64(n) / RenewInterval.Seconds(); perSecond > 150 {
 					t.Errorf("%d entry boxes: part %s gets %.0f renewals a second", size, part, perSecond)
 				}
 			}
--- a/member/rows.go
+++ b/member/rows.go
@@ -102,7 +102,7 @@
 }
 
 // decodeBoxes decodes rows of boxes; it notes and skips those that can't be decoded.
-func decodeBoxes(rows []rowstore.Row, unreadable *observe.Unreadable) []Box {
+func decodeBoxes(rows []rowstore.Row, unreadable *observe.UnreadableLog) []Box {
 	var all []Box
 	for _, row := range rows {
 		d, err := decodeBox(row)
@@ -134,10 +134,10 @@
 	return d, nil
 }
 
-// SomeEntries returns n random entry boxes, or all if there are fewer. Its cost does not grow
+// SampleEntries returns n random entry boxes, or all if there are fewer. Its cost does not grow
 // with the deployment, since hundreds of agents may call it at once after a loss of entry
 // boxes.
-func SomeEntries(ctx context.Context, s rowstore.Store, n int, unreadable *observe.Unreadable) ([]Box, error) {
+func SampleEntries(ctx context.Context, s rowstore.Store, n int, unreadable *observe.UnreadableLog) ([]Box, error) {
 	first := rand.IntN(entryParts)
 	from := hashPrefix(rand.Uint32())
 	draws := []rowstore.Query{{Part: entryPart(first), From: from}}
--- a/member/rows_test.go
+++ b/member/rows_test.go
@@ -66,7 +66,7 @@
 	return page, err
 }
 
-// The cost of SomeEntries does not grow with the deployment.
+// The cost of SampleEntries does not grow with the deployment.
 func TestSomeEntriesCostsTheSameAtEachSize(t *testing.T) {
 	const asked = 16
 	for _, entries := range []int{3, 20, 184, 368} {
@@ -75,7 +75,7 @@
 		drawn := map[string]bool{}
 		const draws = 100
 		for range draws {
-			some, err := SomeEntries(t.Context(), s, asked, nil)
+			some, err := SampleEntries(t.Context(), s, asked, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/member/watch.go
+++ b/member/watch.go
@@ -27,17 +27,17 @@
 	started time.Time
 	// seen holds the lives that were read last, by incarnation; nil for one without a row.
 	seen       map[string]*seenLife
-	unreadable *observe.Unreadable
+	unreadable *observe.UnreadableLog
 }
 
 // NewWatcher returns a watcher for a box. It reports rows that can't be decoded to
 // unreadable.
-func NewWatcher(s rowstore.Store, parts []string, self Box, started time.Time, unreadable *observe.Unreadable) *Watcher {
+func NewWatcher(s rowstore.Store, parts []string, self Box, started time.Time, unreadable *observe.UnreadableLog) *Watcher {
 	return &Watcher{store: s, ring: ring{parts: len(parts)}, parts: parts, self: self, started: started, seen: map[string]*seenLife{}, unreadable: unreadable}
 }
 
-// Over is a life that has ended.
-type Over struct {
+// EndedLife is a life that has ended.
+type EndedLife struct {
 	Incarnation string
 	// At is the latest time at which the life may have given orders.
 	At time.Time
@@ -53,10 +53,10 @@
 
 // renewalLateAfter is how long a life may go without a renewal before further lives on the
 // ring are watched in its place.
-const renewalLateAfter = 2 * RenewPause
+const renewalLateAfter = 2 * RenewInterval
 
 // Poll reads the next lives on the ring and returns those that have ended.
-func (w *Watcher) Poll(ctx context.Context) ([]Over, error) {
+func (w *Watcher) Poll(ctx context.Context) ([]EndedLife, error) {
 	present := map[string]*seenLife{}
 	living := 0
 	err := w.ring.readFrom(ctx, w.store, w.self.Node, func(rows []rowstore.Row) bool {
@@ -133,14 +133,14 @@
 	return rowstore.ReadOne(ctx, w.store, w.ring.key(incarnation))
 }
 
-func (w *Watcher) over(now time.Time) []Over {
-	var over []Over
+func (w *Watcher) over(now time.Time) []EndedLife {
+	var over []EndedLife
 	for name, s := range w.seen {
 		if s == nil || name == w.self.Incarnation {
 			continue
 		}
 		if at, ok := w.overAt(now, s); ok {
-			over = append(over, Over{Incarnation: name, At: at, Fenced: s.row.FencedBy == w.self.Incarnation, version: s.version, row: s.row})
+			over = append(over, EndedLife{Incarnation: name, At: at, Fenced: s.row.FencedBy == w.self.Incarnation, version: s.version, row: s.row})
 		}
 	}
 	return over
@@ -172,7 +172,7 @@
 // Fence ends a life in the store: none of its writes takes effect any more, and no other box
 // can take it over. It returns ErrConflict if the life had not ended or another box was
 // first.
-func (w *Watcher) Fence(ctx context.Context, o Over) error {
+func (w *Watcher) Fence(ctx context.Context, o EndedLife) error {
 	row := o.row
 	row.FencedBy = w.self.Incarnation
 	key := w.ring.key(o.Incarnation)
--- a/node/agent.go
+++ b/node/agent.go
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// Some implements peer.Peers.Some with the seeds.
-func (a *Agent) Some(n int) []peerpb.PeerClient { return a.seeds.some(n) }
+// Sample implements peer.Peers.Sample with the seeds.
+func (a *Agent) Sample(n int) []peerpb.PeerClient { return a.seeds.some(n) }
 
 // Stop drains the gate: it accepts no more orders and waits until no run is left or the
 // context ends.
--- a/node/ask.go
+++ b/node/ask.go
@@ -22,8 +22,8 @@
 var (
 	// ErrUnknownJob is returned if no such job exists.
 	ErrUnknownJob = eris.New("node: unknown job")
-	// ErrUnsure is returned if the state of a job can't be determined at present.
-	ErrUnsure = eris.New("node: job state can't be determined at present")
+	// ErrStateUnknown is returned if the state of a job can't be determined at present.
+	ErrStateUnknown = eris.New("node: job state can't be determined at present")
 )
 
 // How long a state query waits for the end of a job. Callers query as the last task ends,
@@ -44,14 +44,14 @@
 	record, err := e.readRecord(ctx, id)
 	switch {
 	case err != nil:
-		return "", ErrUnsure
+		return "", ErrStateUnknown
 	case record != nil:
 		return e.askState(ctx, record), nil
 	}
 	final, err := e.readFinal(ctx, id)
 	switch {
 	case err != nil:
-		return "", ErrUnsure
+		return "", ErrStateUnknown
 	case final != nil:
 		return final.State, nil
 	}
@@ -80,23 +80,23 @@
 			}
 		case <-ctx.Done():
 		}
-		return ErrUnsure
+		return ErrStateUnknown
 	}
 	record, err := e.readRecord(ctx, id)
 	if err != nil {
-		return ErrUnsure
+		return ErrStateUnknown
 	}
 	if record != nil {
 		a, err := e.ask(ctx, record.Owner, &peerpb.Question{Kind: peerpb.Question_CANCEL, Job: string(id)})
 		if err != nil || !a.GetKnown() || a.GetFailed() {
-			return ErrUnsure
+			return ErrStateUnknown
 		}
 		return nil
 	}
 	final, err := e.readFinal(ctx, id)
 	switch {
 	case err != nil:
-		return ErrUnsure
+		return ErrStateUnknown
 	case final == nil:
 		return ErrUnknownJob
 	}
@@ -124,11 +124,11 @@
 	node := member.NodeOf(incarnation)
 	b, err := e.box(ctx, node)
 	if err != nil {
-		return nil, ErrUnsure
+		return nil, ErrStateUnknown
 	}
 	a, err := e.askBox(ctx, b, q)
 	if err == nil && a.GetIncarnation() != incarnation {
-		return nil, ErrUnsure
+		return nil, ErrStateUnknown
 	}
 	return a, err
 }
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -102,7 +102,7 @@
 }
 
 // followTest is a FollowOperator that provides a fixed configuration.
-func followTest(_ context.Context, _ rowstore.Store, to Operator, _ logr.Logger) {
+func followTest(_ context.Context, _ rowstore.Store, to OperatorUpdates, _ logr.Logger) {
 	to.Routes.Take(&route.Table{Version: 1, Routes: []route.Route{{Host: "h", Prefix: "/a/", Queue: testQueue()}}})
 }
 
--- a/node/descriptions.go
+++ b/node/descriptions.go
@@ -30,7 +30,7 @@
 	node   string
 	driver *gate.Driver
 	// unreadable records a description that can't be decoded.
-	unreadable *observe.Unreadable
+	unreadable *observe.UnreadableLog
 	log        logr.Logger
 }
 
--- a/node/entry.go
+++ b/node/entry.go
@@ -60,7 +60,7 @@
 	Metrics         *observe.Metrics
 	Log             logr.Logger
 	// Unreadable records rows of the store that can't be decoded; it may be nil.
-	Unreadable *observe.Unreadable
+	Unreadable *observe.UnreadableLog
 	// Policy makes the decisions that operators have programmed; nil for the built-in ones.
 	Policy owner.Policy
 }
@@ -88,16 +88,16 @@
 	defaultCallTimeout = 30 * time.Second
 )
 
-// Operator receives the configuration and the evacuations that operators write.
-type Operator struct {
+// OperatorUpdates receives the configuration and the evacuations that operators write.
+type OperatorUpdates struct {
 	Routes *route.Holder
 	// Evacuated receives the evacuated failure domains, sorted, as of a version of the store
 	// that was current at the given time or later.
 	Evacuated func(domains []string, version uint64, at time.Time)
 }
 
-// FollowOperator passes changes written by operators to an Operator until the context ends.
-type FollowOperator func(ctx context.Context, s rowstore.Store, to Operator, log logr.Logger)
+// FollowOperator passes changes written by operators to an OperatorUpdates until the context ends.
+type FollowOperator func(ctx context.Context, s rowstore.Store, to OperatorUpdates, log logr.Logger)
 
 // Entry is a box that accepts submissions and owns their jobs.
 type Entry struct {
@@ -142,16 +142,16 @@
 	e.hubs = newHubs(o.Node, e.known)
 	e.direct = peer.NewSharedStore(o.Store)
 	e.store = peer.NewRelayedStore(e.direct, e, o.Metrics, o.Log)
-	e.store.UseHubs(e)
+	e.store.SetHubs(e)
 	e.evacuations.OnNews(e.passEvacuations)
 	e.gauges()
 	return e, nil
 }
 
-// Some implements peer.Peers.Some with linked agents, or with seeds if there are none.
-func (e *Entry) Some(n int) []peerpb.PeerClient {
+// Sample implements peer.Peers.Sample with linked agents, or with seeds if there are none.
+func (e *Entry) Sample(n int) []peerpb.PeerClient {
 	if t := e.current.Load(); t != nil {
-		if some := t.links.Some(n); len(some) > 0 {
+		if some := t.links.Sample(n); len(some) > 0 {
 			return some
 		}
 	}
@@ -166,7 +166,7 @@
 	})
 	go func() { _ = server.Serve(e.listener) }()
 	defer server.Stop()
-	go e.follow(ctx, e.store, Operator{Routes: &e.routes, Evacuated: e.evacuated}, e.log)
+	go e.follow(ctx, e.store, OperatorUpdates{Routes: &e.routes, Evacuated: e.evacuated}, e.log)
 	go member.NewSweeper(e.store, e.entries, e.log).Run(ctx)
 	go member.Follow(ctx, e.store, e.found, e.lost, e.options.Unreadable, e.log)
 	for ctx.Err() == nil {
@@ -190,7 +190,7 @@
 	return route.Limits{}
 }
 
-// evacuated implements Operator.Evacuated.
+// evacuated implements OperatorUpdates.Evacuated.
 func (e *Entry) evacuated(domains []string, version uint64, at time.Time) {
 	e.evacuations.Take(evacuation.News{Domains: domains, Version: version, AsOf: at.Sub(e.started)})
 }
@@ -231,7 +231,7 @@
 	e.mu.Unlock()
 	e.hubs.invalidate()
 	if t := e.current.Load(); t != nil {
-		t.fleet.Lost(node)
+		t.fleet.RemoveBox(node)
 		t.owner.SetOwners(t.fleet.Entries())
 	}
 }
--- a/node/hubs.go
+++ b/node/hubs.go
@@ -168,7 +168,7 @@
 func (e *Entry) hubClient(b member.Box) (hub peerpb.PeerClient, node string, ok bool) {
 	client, err := e.askClient(b.Address)
 	if err != nil {
-		e.HubFails(b.Node)
+		e.HubFailed(b.Node)
 		return nil, "", false
 	}
 	return client, b.Node, true
@@ -177,8 +177,8 @@
 // HubAnswered implements peer.Hubs.HubAnswered.
 func (e *Entry) HubAnswered(node string) { e.hubs.markAnswered(node) }
 
-// HubFails implements peer.Hubs.HubFails. It closes the connection, which may be broken.
-func (e *Entry) HubFails(node string) {
+// HubFailed implements peer.Hubs.HubFailed. It closes the connection, which may be broken.
+func (e *Entry) HubFailed(node string) {
 	e.hubs.markFailed(time.Now(), node)
 	e.mu.Lock()
 	b, ok := e.boxes[node]
--- a/node/jobs.go
+++ b/node/jobs.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// Incarnation implements peer.Asked.Incarnation.
+// Incarnation implements peer.JobAnswerer.Incarnation.
 func (e *Entry) Incarnation() string {
 	if t := e.current.Load(); t != nil {
 		return t.box.Incarnation
@@ -56,7 +56,7 @@
 	return ""
 }
 
-// State implements peer.Asked.State. It waits a short time for the end of the job.
+// State implements peer.JobAnswerer.State. It waits a short time for the end of the job.
 func (e *Entry) State(ctx context.Context, id job.ID) (job.State, bool) {
 	t := e.current.Load()
 	if t == nil {
@@ -67,7 +67,7 @@
 	return t.owner.AwaitEnd(ctx, id, endWait)
 }
 
-// Cancel implements peer.Asked.Cancel.
+// Cancel implements peer.JobAnswerer.Cancel.
 func (e *Entry) Cancel(id job.ID, done func(ok bool)) bool {
 	t := e.current.Load()
 	return t != nil && t.owner.Cancel(id, done)
--- a/node/lease_test.go
+++ b/node/lease_test.go
@@ -70,7 +70,7 @@
 }
 
 // waitIdle gives boxes time for writes that they should not make.
-func waitIdle() { wait.For(context.Background(), 2*member.RenewPause) }
+func waitIdle() { wait.For(context.Background(), 2*member.RenewInterval) }
 
 // A deployment without durable jobs does not write to the store.
 func TestIdleEntriesDoNotWrite(t *testing.T) {
@@ -86,7 +86,7 @@
 	waitIdle()
 	c.store.SetFault(nil)
 	if writes != 0 {
-		t.Errorf("%d writes in %v without any job", writes, 2*member.RenewPause)
+		t.Errorf("%d writes in %v without any job", writes, 2*member.RenewInterval)
 	}
 }
 
--- a/node/pending_test.go
+++ b/node/pending_test.go
@@ -62,7 +62,7 @@
 // plus the time between the lease renewals that write the counts, plus two calls.
 func TestPendingIsYoungEnough(t *testing.T) {
 	const promised, call = 2 * time.Second, 100 * time.Millisecond
-	if oldest := pendingAge + member.RenewPause + 2*call; oldest > promised {
+	if oldest := pendingAge + member.RenewInterval + 2*call; oldest > promised {
 		t.Errorf("counts are up to %v old, want %v at most", oldest, promised)
 	}
 }
--- a/node/seek.go
+++ b/node/seek.go
@@ -45,7 +45,7 @@
 	box     member.Box
 	metrics *observe.Metrics
 	// unreadable records rows of boxes that can't be decoded; it may be nil.
-	unreadable *observe.Unreadable
+	unreadable *observe.UnreadableLog
 	log        logr.Logger
 }
 
@@ -71,7 +71,7 @@
 func (s *ownerSeeker) seek(ctx context.Context, linked []string) (invited int) {
 	readCtx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	boxes, err := member.SomeEntries(readCtx, s.store, entriesSampled, s.unreadable)
+	boxes, err := member.SampleEntries(readCtx, s.store, entriesSampled, s.unreadable)
 	if err != nil {
 		s.log.Info("Entry boxes not read; the gate has few owners.", "owners", len(linked), "error", err.Error())
 		return 0
--- a/node/takeover.go
+++ b/node/takeover.go
@@ -24,8 +24,8 @@
 
 // takeOver takes over the jobs of ended incarnations. It first asks the gates for the runs
 // of all of them, since one may have taken over jobs from another.
-func (t *term) takeOver(over []member.Over) {
-	var fenced []member.Over
+func (t *term) takeOver(over []member.EndedLife) {
+	var fenced []member.EndedLife
 	for _, o := range over {
 		if t.adopting[o.Incarnation] || !t.fence(o) {
 			continue
@@ -40,7 +40,7 @@
 }
 
 // fence prevents further writes of an incarnation; it returns false on failure.
-func (t *term) fence(o member.Over) bool {
+func (t *term) fence(o member.EndedLife) bool {
 	if o.Fenced {
 		return true
 	}
@@ -53,7 +53,7 @@
 
 // adopt takes over the jobs of a fenced incarnation. Its row is deleted only when all
 // gates have reported its runs, so that another owner can still take over from this one.
-func (t *term) adopt(o member.Over) {
+func (t *term) adopt(o member.EndedLife) {
 	t.log.Info("Taking over.", "life", o.Incarnation)
 	if t.watcher.FenceParts(t.ctx, o.Incarnation) != nil {
 		return
--- a/node/term.go
+++ b/node/term.go
@@ -100,7 +100,7 @@
 	if b.Role == member.RoleAgent {
 		t.owner.AddGate(b.Node, b.Zone)
 	}
-	t.fleet.Found(b)
+	t.fleet.AddBox(b)
 	t.owner.SetOwners(t.fleet.Entries())
 }
 
@@ -146,7 +146,7 @@
 // renew renews the lease until the incarnation ends.
 func (t *term) renew() {
 	for {
-		wait.For(t.ctx, member.RenewPause)
+		wait.For(t.ctx, member.RenewInterval)
 		if t.ctx.Err() != nil {
 			return
 		}
--- a/node/virtualentry_test.go
+++ b/node/virtualentry_test.go
@@ -111,7 +111,7 @@
 func (b *entryBox) renew(e *Entry) {
 	for b.awake.pass(b.ctx) {
 		b.owner.RenewLease(time.Since(e.started) + member.Lease)
-		wait.For(b.ctx, member.RenewPause)
+		wait.For(b.ctx, member.RenewInterval)
 	}
 }
 
--- a/node/virtuallink_test.go
+++ b/node/virtuallink_test.go
@@ -282,7 +282,7 @@
 	beat := time.NewTicker(linkReportHeartbeat)
 	defer beat.Stop()
 	for l.agent.awake.pass(l.gateCtx) {
-		reported := d.Reported()
+		reported := d.ReportVersion()
 		f, ok := d.Flush(l.entry.incarnation, l.number)
 		if !ok {
 			return
@@ -308,7 +308,7 @@
 		return true
 	case since < linkReportPause/2:
 		return false
-	case d.Reported() != reported:
+	case d.ReportVersion() != reported:
 		return true
 	}
 	pause := linkIdleReport
--- a/observe/bounded.go
+++ b/observe/bounded.go
@@ -33,8 +33,8 @@
 	return len(line), nil
 }
 
-// LeftOut returns the number of dropped lines that have not been reported yet.
-func (b *BoundedWriter) LeftOut() int64 { return b.dropped.Load() }
+// Dropped returns the number of dropped lines that have not been reported yet.
+func (b *BoundedWriter) Dropped() int64 { return b.dropped.Load() }
 
 func (b *BoundedWriter) run(w io.Writer) {
 	for line := range b.lines {
--- a/observe/bounded_test.go
+++ b/observe/bounded_test.go
@@ -37,7 +37,7 @@
 			t.Fatal(err)
 		}
 	}
-	if w.LeftOut() == 0 {
+	if w.Dropped() == 0 {
 		t.Error("no lines were dropped although the destination is blocked")
 	}
 	close(g.open)
--- a/observe/unreadable.go
+++ b/observe/unreadable.go
@@ -17,9 +17,9 @@
 // maxKeyBytes limits how much of an entry's key is logged.
 const maxKeyBytes = 100
 
-// Unreadable counts and logs entries from other processes that cannot be decoded: rows of
-// the store, heartbeats and rows of a target's lists. A nil *Unreadable does nothing.
-type Unreadable struct {
+// UnreadableLog counts and logs entries from other processes that cannot be decoded: rows of
+// the store, heartbeats and rows of a target's lists. A nil *UnreadableLog does nothing.
+type UnreadableLog struct {
 	log     logr.Logger
 	metrics *Metrics
 
@@ -34,14 +34,14 @@
 	unlogged int
 }
 
-// NewUnreadable returns an Unreadable that uses the given logger and metrics.
-func NewUnreadable(log logr.Logger, m *Metrics) *Unreadable {
-	return &Unreadable{log: log, metrics: m, sources: map[string]*sourceLog{}}
+// NewUnreadable returns an UnreadableLog that uses the given logger and metrics.
+func NewUnreadable(log logr.Logger, m *Metrics) *UnreadableLog {
+	return &UnreadableLog{log: log, metrics: m, sources: map[string]*sourceLog{}}
 }
 
 // Note records an unreadable entry. The source must be one of a small set of names; the key
 // identifies the entry and the reason says what is wrong with it.
-func (u *Unreadable) Note(source, key, reason string) {
+func (u *UnreadableLog) Note(source, key, reason string) {
 	if u == nil {
 		return
 	}
@@ -55,7 +55,7 @@
 
 // nextLine counts an entry. It returns whether the source is due a log line and how many
 // earlier entries were not logged.
-func (u *Unreadable) nextLine(source string) (unlogged int, due bool) {
+func (u *UnreadableLog) nextLine(source string) (unlogged int, due bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	s := u.sources[source]
--- a/observe/unreadable_test.go
+++ b/observe/unreadable_test.go
@@ -29,6 +29,6 @@
 			t.Errorf("lines %q", lines)
 		}
 	})
-	var none *Unreadable
+	var none *UnreadableLog
 	none.Note("members", "k", "nothing")
 }
--- a/owner/besteffort.go
+++ b/owner/besteffort.go
@@ -21,7 +21,7 @@
 }
 
 // RunBestEffort runs a best-effort job for as long as its caller waits. It calls result
-// once, possibly before it returns. The ticket identifies the caller to Leave.
+// once, possibly before it returns. The ticket identifies the caller to RemoveCaller.
 func (o *Owner) RunBestEffort(s job.Submission, patience time.Duration, result func(BestEffortResult)) (ticket uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/owner/foreign.go
+++ b/owner/foreign.go
@@ -6,7 +6,7 @@
 )
 
 // UnknownJobs returns the jobs that this owner does not know but gates have reported
-// ends of. Their final records decide on these ends; see JudgeForeign.
+// ends of. Their final records decide on these ends; see AnswerUnknown.
 func (o *Owner) UnknownJobs() []job.ID {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -198,7 +198,7 @@
 	return o.active(o.options.Now())
 }
 
-// Running reports whether End has not been called yet.
+// Running reports whether Stop has not been called yet.
 func (o *Owner) Running() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/peer/fleet.go
+++ b/peer/fleet.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// Found adds or updates a box of the membership.
-func (f *Fleet) Found(d member.Box) {
+// AddBox adds or updates a box of the membership.
+func (f *Fleet) AddBox(d member.Box) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.add(d)
@@ -113,8 +113,8 @@
 	notifier(f.changed)()
 }
 
-// Lost removes a box that has left the membership.
-func (f *Fleet) Lost(node string) {
+// RemoveBox removes a box that has left the membership.
+func (f *Fleet) RemoveBox(node string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.stale = f.ranking.removeEntry(node) || f.ranking.removeGate(node) || f.stale
--- a/peer/fleet_test.go
+++ b/peer/fleet_test.go
@@ -75,11 +75,11 @@
 	}
 	b.Fleet = NewFleet(testEntry(entries[0]), b.links, b.needs, logr.Discard())
 	for _, e := range entries {
-		b.Found(member.Box{Node: e, Role: member.RoleEntry})
+		b.AddBox(member.Box{Node: e, Role: member.RoleEntry})
 	}
 	for _, g := range gates {
 		g.Role = member.RoleAgent
-		b.Found(g)
+		b.AddBox(g)
 	}
 	b.advance(0)
 	return b
--- a/peer/hub.go
+++ b/peer/hub.go
@@ -16,14 +16,14 @@
 	// Writer returns the hub that merges the transactions of a part, and its node; the
 	// client is nil if that is this process. ok is false if there is none.
 	Writer(part string) (hub peerpb.PeerClient, node string, ok bool)
-	// HubAnswered and HubFails report the outcome of a call to a hub.
+	// HubAnswered and HubFailed report the outcome of a call to a hub.
 	HubAnswered(node string)
-	HubFails(node string)
+	HubFailed(node string)
 }
 
-// UseHubs sends calls for changes, reads that may be old and transactions that may be merged
+// SetHubs sends calls for changes, reads that may be old and transactions that may be merged
 // to hubs first. It must be called before the store is used.
-func (r *RelayedStore) UseHubs(h Hubs) { r.hubs = h }
+func (r *RelayedStore) SetHubs(h Hubs) { r.hubs = h }
 
 // callHub makes a call through a hub with the timeout left. It returns errNoHub if there is
 // no hub and errHubFailed if it has not answered; the caller then asks the store.
@@ -44,7 +44,7 @@
 		return page, err
 	}
 	r.metrics.Count(metricHubFailed, 1)
-	r.hubs.HubFails(node)
+	r.hubs.HubFailed(node)
 	r.log.Info("No answer from a hub; the store is asked.", "hub", node, "call", kind, "error", err.Error())
 	return rowstore.Page{}, errHubFailed
 }
@@ -67,7 +67,7 @@
 		return out, err
 	}
 	r.metrics.Count(metricHubFailed, 1)
-	r.hubs.HubFails(node)
+	r.hubs.HubFailed(node)
 	r.log.Info("Transaction not made by a hub.", "hub", node, "part", t.Part(), "error", err.Error())
 	if errors.Is(err, rowstore.ErrUncertain) {
 		return rowstore.Outcome{}, err
--- a/peer/hub_test.go
+++ b/peer/hub_test.go
@@ -87,7 +87,7 @@
 
 func (h *testHub) HubAnswered(string) {}
 
-func (h *testHub) HubFails(string) {
+func (h *testHub) HubFailed(string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.until = time.Now().Add(testHubRetryDelay)
@@ -125,7 +125,7 @@
 func startFollower(ctx context.Context, m rowstore.Store, hubs Hubs) *hubFollower {
 	f := &hubFollower{}
 	s := NewRelayedStore(m, onePeer{}, observe.NewMetrics(), logr.Discard())
-	s.UseHubs(hubs)
+	s.SetHubs(hubs)
 	follower := rowstore.Follower{
 		Store: s, Table: "op", Log: logr.Discard(),
 		Confirmed: func(at time.Time, _ uint64) {
@@ -365,7 +365,7 @@
 			var all sync.WaitGroup
 			for i := range boxes {
 				s := NewRelayedStore(NewSharedStore(writes), onePeer{}, observe.NewMetrics(), logr.Discard())
-				s.UseHubs(hub)
+				s.SetHubs(hub)
 				put := rowstore.Put{Key: rowstore.Key{Table: "jobs", Part: "0", Name: fmt.Sprint(i)}, Value: []byte("x")}
 				insert := rowstore.Transaction{Conditions: []rowstore.Condition{{Key: put.Key}}, Puts: []rowstore.Put{put}, Merge: true}
 				all.Go(func() {
--- a/peer/links.go
+++ b/peer/links.go
@@ -150,8 +150,8 @@
 	return ctx, cancel, g.box
 }
 
-// Some implements Peers.Some; it picks from the linked boxes.
-func (l *Links) Some(n int) []peerpb.PeerClient {
+// Sample implements Peers.Sample; it picks from the linked boxes.
+func (l *Links) Sample(n int) []peerpb.PeerClient {
 	l.mu.Lock()
 	conns := make([]*grpc.ClientConn, 0, len(l.up))
 	for _, c := range l.up {
--- a/peer/relay.go
+++ b/peer/relay.go
@@ -18,8 +18,8 @@
 
 // Peers provides connections to other processes.
 type Peers interface {
-	// Some returns at most n clients of other processes in random order.
-	Some(n int) []peerpb.PeerClient
+	// Sample returns at most n clients of other processes in random order.
+	Sample(n int) []peerpb.PeerClient
 }
 
 // Limits of calls through peers.
@@ -168,7 +168,7 @@
 	if !errors.Is(err, rowstore.ErrNotDone) {
 		return answer, err
 	}
-	for _, p := range r.peers.Some(relayPeers) {
+	for _, p := range r.peers.Sample(relayPeers) {
 		left := relayTimeout(ctx)
 		if left < minRelayTimeout {
 			break
--- a/peer/relay_test.go
+++ b/peer/relay_test.go
@@ -88,7 +88,7 @@
 // onePeer is a Peers with at most one client.
 type onePeer struct{ client peerpb.PeerClient }
 
-func (p onePeer) Some(n int) []peerpb.PeerClient {
+func (p onePeer) Sample(n int) []peerpb.PeerClient {
 	if p.client == nil || n == 0 {
 		return nil
 	}
--- a/peer/server.go
+++ b/peer/server.go
@@ -75,12 +75,12 @@
 	// OnReport sets the function that is called when there is a new report for all
 	// owners. The function must not call the gate.
 	OnReport(changed func())
-	// Reported returns how often the report has changed.
-	Reported() uint64
+	// ReportVersion returns how often the report has changed.
+	ReportVersion() uint64
 }
 
-// Asked answers the questions of other owners.
-type Asked interface {
+// JobAnswerer answers the questions of other owners.
+type JobAnswerer interface {
 	Incarnation() string
 	// State returns the state of a job of this process, and may wait for its end.
 	State(ctx context.Context, id job.ID) (job.State, bool)
@@ -102,7 +102,7 @@
 	// Gate is nil if the process has no gate.
 	Gate Gate
 	// Owner is nil if the process has no owner.
-	Owner Asked
+	Owner JobAnswerer
 	// Inviter is nil if the process opens no links.
 	Inviter Inviter
 	// Direct is the store without relays.
@@ -184,7 +184,7 @@
 func (s *Server) sendReports(ctx context.Context, stream grpc.BidiStreamingServer[peerpb.OwnerFrame, peerpb.GateFrame], owner string, link uint64, wake <-chan struct{}, pause time.Duration) error {
 	incarnation := s.Incarnation
 	for {
-		reported := s.Gate.Reported()
+		reported := s.Gate.ReportVersion()
 		f, ok := s.Gate.Flush(owner, link)
 		if !ok {
 			return ErrLink
@@ -207,7 +207,7 @@
 }
 
 // frameDue reports whether the next frame to an owner is due; sent is when the last one was
-// sent, and reported the value of Gate.Reported at that time. Without pending frames half
+// sent, and reported the value of Gate.ReportVersion at that time. Without pending frames half
 // of the pause must have passed, to allow for the distance between two beats.
 func (s *Server) frameDue(owner string, pause time.Duration, sent time.Time, reported uint64) bool {
 	since := time.Since(sent)
@@ -216,7 +216,7 @@
 		return true
 	case since < pause/2:
 		return false
-	case s.Gate.Reported() != reported:
+	case s.Gate.ReportVersion() != reported:
 		return true
 	}
 	// The next beat may be a whole interval later.
--- a/peer/server_test.go
+++ b/peer/server_test.go
@@ -18,7 +18,7 @@
 func (g stubGate) HasRuns(owner string) bool                  { return owner == "with-runs" }
 func (g stubGate) OpenOwners() int                            { return g.owners }
 func (g stubGate) OnReport(func())                            {}
-func (g stubGate) Reported() uint64                           { return 0 }
+func (g stubGate) ReportVersion() uint64                      { return 0 }
 
 // The rate of report-only frames of a gate is bounded, however many owners it has.
 func TestReportPause(t *testing.T) {
--- a/peer/share_bench_test.go
+++ b/peer/share_bench_test.go
@@ -19,17 +19,17 @@
 			links := &testLinks{kept: map[string]member.Box{}, cut: func(member.Box) bool { return false }}
 			f := NewFleet(testEntry(entries[0]), links, &testNeeds{}, logr.Discard())
 			for _, e := range entries {
-				f.Found(member.Box{Node: e, Role: member.RoleEntry})
+				f.AddBox(member.Box{Node: e, Role: member.RoleEntry})
 			}
 			for _, g := range gates {
 				g.Role = member.RoleAgent
-				f.Found(g)
+				f.AddBox(g)
 			}
 			f.review(context.Background(), time.Now())
 			for i := range b.N {
 				g := gates[i%len(gates)]
 				g.Role, g.Incarnation = member.RoleAgent, fmt.Sprint(i)
-				f.Found(g)
+				f.AddBox(g)
 				f.review(context.Background(), time.Now())
 			}
 		})
--- a/rowstore/follow.go
+++ b/rowstore/follow.go
@@ -39,8 +39,8 @@
 	Table string
 	// Parts are the parts of the table; nil means the part with the empty name.
 	Parts []string
-	// Anew, if not nil, is called before the table is read or reread.
-	Anew func()
+	// OnReread, if not nil, is called before the table is read or reread.
+	OnReread func()
 	// Change is called for each row that was read, written or deleted.
 	Change func(Row)
 	// Confirmed, if not nil, is called once all changes made before the time sent have been
@@ -49,10 +49,10 @@
 	// Wait is how long the store waits for changes; 0 means 0.5 s. The follower's knowledge
 	// is at most 0.5 s older than this.
 	Wait time.Duration
-	// Gather is a pause after changes, so that those that follow closely are fetched with one
+	// BatchDelay is a pause after changes, so that those that follow closely are fetched with one
 	// call.
-	Gather time.Duration
-	Log    logr.Logger
+	BatchDelay time.Duration
+	Log        logr.Logger
 }
 
 // wait returns how long the store waits for changes.
@@ -123,8 +123,8 @@
 	if t.scan == nil {
 		t.scan = NewScan(t.Table, t.Parts)
 		t.scan.MayBeOld = rereadMaxAge
-		if t.Anew != nil {
-			t.Anew()
+		if t.OnReread != nil {
+			t.OnReread()
 		}
 	}
 	rows, err := t.scan.Next(ctx, t.Store)
@@ -158,7 +158,7 @@
 	}
 	t.version = max(t.version, resumeFrom(page))
 	if len(page.Rows) > 0 && !page.More {
-		wait.For(ctx, t.Gather)
+		wait.For(ctx, t.BatchDelay)
 	}
 	return !page.More, nil
 }
--- a/rowstore/follow_test.go
+++ b/rowstore/follow_test.go
@@ -146,7 +146,7 @@
 	})
 }
 
-// A follower with Gather handles a first change at once, and those that follow closely with
+// A follower with BatchDelay handles a first change at once, and those that follow closely with
 // few calls.
 func TestFollowerGathers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -163,7 +163,7 @@
 		f := &followed{}
 		follower := newFollower(m, f)
 		follower.Wait = 2 * time.Second
-		follower.Gather = 250 * time.Millisecond
+		follower.BatchDelay = 250 * time.Millisecond
 		go follower.Run(ctx)
 		time.Sleep(time.Second)
 		calls.Store(0)
@@ -176,7 +176,7 @@
 			change(t, m, fmt.Sprint(i))
 			time.Sleep(time.Millisecond)
 		}
-		time.Sleep(follower.Gather)
+		time.Sleep(follower.BatchDelay)
 		if got, _ := f.state(); got != "289" {
 			t.Errorf("%q is known, want the newest value", got)
 		}
