--- a/gate/gate.go
+++ b/gate/gate.go
@@ -33,10 +33,10 @@
 	Lease time.Duration
 	// LongestLease is the longest lease that the target grants; 0 means Lease.
 	LongestLease time.Duration
-	// Contact is how long runs of durable jobs continue without contact to their owner.
-	Contact time.Duration
-	// BestEffortContact is the same for runs of best-effort jobs.
-	BestEffortContact time.Duration
+	// ContactTimeout is how long runs of durable jobs continue without contact to their owner.
+	ContactTimeout time.Duration
+	// BestEffortContactTimeout is the same for runs of best-effort jobs.
+	BestEffortContactTimeout time.Duration
 	// Unix returns the wall-clock time in Unix milliseconds, from which fencing tokens are
 	// derived. The default is the clock of the box.
 	Unix func() int64
@@ -148,7 +148,7 @@
 	ordered bool
 	// lateOrdersUntil is until when unanswered starts may still be carried out.
 	lateOrdersUntil   Time
-	endedIncarnations map[Life]bool
+	endedIncarnations map[Incarnation]bool
 	// candidates holds the newest heartbeat of each incarnation other than the current one.
 	candidates []candidate
 	// recalled is the target's description as stored by an earlier process; published is the
@@ -195,24 +195,24 @@
 	return &Gate{
 		options:           o,
 		fenceStep:         minFenceStep,
-		endedIncarnations: map[Life]bool{},
+		endedIncarnations: map[Incarnation]bool{},
 		runs:              map[job.RunName]*run{},
 		owners:            map[string]*ownerState{},
 		adopted:           map[string]string{},
-		incarnationState:  newIncarnationState(Life{}, 0),
+		incarnationState:  newIncarnationState(Incarnation{}, 0),
 	}
 }
 
 // Actions are the calls to the target that result from an event.
 type Actions struct {
-	Life   Life
-	Starts []StartCall
-	Stops  []StopCall
+	Incarnation Incarnation
+	Starts      []StartCall
+	Stops       []StopCall
 	// HoldNow requests a hold immediately.
 	HoldNow bool
-	// HoldAfresh requests a hold over a new connection that replaces those in flight, which may
+	// ReplaceHolds requests a hold over a new connection that replaces those in flight, which may
 	// be waiting for an incarnation that has ended.
-	HoldAfresh bool
+	ReplaceHolds bool
 }
 
 // Leave closes the gate for good, because its process shuts down.
--- a/node/agent.go
+++ b/node/agent.go
@@ -18,7 +18,7 @@
 // Agent is a box that runs the gate of a target.
 type Agent struct {
 	options  Options
-	target   gate.Executor
+	target   gate.Target
 	listener net.Listener
 	log      logr.Logger
 	driver   *gate.Driver
@@ -28,7 +28,7 @@
 
 // NewAgent returns an agent and starts listening for other boxes. Calls to the target
 // are cancelled when the context ends.
-func NewAgent(ctx context.Context, o Options, target gate.Executor) (*Agent, error) {
+func NewAgent(ctx context.Context, o Options, target gate.Target) (*Agent, error) {
 	listener, err := net.Listen("tcp", o.Listen)
 	if err != nil {
 		return nil, eris.Wrap(ErrServe, err.Error())
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// Some implements peer.Peers.Some with the seeds.
-func (a *Agent) Some(n int) []peerpb.PeerClient { return a.seeds.some(n) }
+// Sample implements peer.Peers.Sample with the seeds.
+func (a *Agent) Sample(n int) []peerpb.PeerClient { return a.seeds.some(n) }
 
 // Stop drains the gate: it accepts no more orders and waits until no run is left or the
 // context ends.
--- a/node/entry.go
+++ b/node/entry.go
@@ -60,7 +60,7 @@
 	Metrics         *observe.Metrics
 	Log             logr.Logger
 	// Unreadable records rows of the store that can't be decoded; it may be nil.
-	Unreadable *observe.Unreadable
+	Unreadable *observe.UnreadableLog
 	// Policy makes the decisions that operators have programmed; nil for the built-in ones.
 	Policy owner.Policy
 }
@@ -88,16 +88,16 @@
 	defaultCallTimeout = 30 * time.Second
 )
 
-// Operator receives the configuration and the evacuations that operators write.
-type Operator struct {
+// OperatorUpdates receives the configuration and the evacuations that operators write.
+type OperatorUpdates struct {
 	Routes *route.Holder
 	// Evacuated receives the evacuated failure domains, sorted, as of a version of the store
 	// that was current at the given time or later.
 	Evacuated func(domains []string, version uint64, at time.Time)
 }
 
-// FollowOperator passes changes written by operators to an Operator until the context ends.
-type FollowOperator func(ctx context.Context, s rowstore.Store, to Operator, log logr.Logger)
+// FollowOperator passes changes written by operators to an OperatorUpdates until the context ends.
+type FollowOperator func(ctx context.Context, s rowstore.Store, to OperatorUpdates, log logr.Logger)
 
 // Entry is a box that accepts submissions and owns their jobs.
 type Entry struct {
@@ -142,16 +142,16 @@
 	e.hubs = newHubs(o.Node, e.known)
 	e.direct = peer.NewSharedStore(o.Store)
 	e.store = peer.NewRelayedStore(e.direct, e, o.Metrics, o.Log)
-	e.store.UseHubs(e)
+	e.store.SetHubs(e)
 	e.evacuations.OnNews(e.passEvacuations)
 	e.gauges()
 	return e, nil
 }
 
-// Some implements peer.Peers.Some with linked agents, or with seeds if there are none.
-func (e *Entry) Some(n int) []peerpb.PeerClient {
+// Sample implements peer.Peers.Sample with linked agents, or with seeds if there are none.
+func (e *Entry) Sample(n int) []peerpb.PeerClient {
 	if t := e.current.Load(); t != nil {
-		if some := t.links.Some(n); len(some) > 0 {
+		if some := t.links.Sample(n); len(some) > 0 {
 			return some
 		}
 	}
@@ -166,7 +166,7 @@
 	})
 	go func() { _ = server.Serve(e.listener) }()
 	defer server.Stop()
-	go e.follow(ctx, e.store, Operator{Routes: &e.routes, Evacuated: e.evacuated}, e.log)
+	go e.follow(ctx, e.store, OperatorUpdates{Routes: &e.routes, Evacuated: e.evacuated}, e.log)
 	go member.NewSweeper(e.store, e.entries, e.log).Run(ctx)
 	go member.Follow(ctx, e.store, e.found, e.lost, e.options.Unreadable, e.log)
 	for ctx.Err() == nil {
@@ -190,7 +190,7 @@
 	return route.Limits{}
 }
 
-// evacuated implements Operator.Evacuated.
+// evacuated implements OperatorUpdates.Evacuated.
 func (e *Entry) evacuated(domains []string, version uint64, at time.Time) {
 	e.evacuations.Take(evacuation.News{Domains: domains, Version: version, AsOf: at.Sub(e.started)})
 }
@@ -198,7 +198,7 @@
 // passEvacuations passes evacuations on to the current owner.
 func (e *Entry) passEvacuations(n evacuation.News) {
 	if t := e.current.Load(); t != nil {
-		t.owner.TakeEvacuations(n)
+		t.owner.UpdateEvacuations(n)
 	}
 }
 
@@ -231,8 +231,8 @@
 	e.mu.Unlock()
 	e.hubs.invalidate()
 	if t := e.current.Load(); t != nil {
-		t.fleet.Lost(node)
-		t.owner.SetEntries(t.fleet.Entries())
+		t.fleet.RemoveBox(node)
+		t.owner.SetOwners(t.fleet.Entries())
 	}
 }
 
@@ -262,7 +262,7 @@
 	incarnation := e.options.Node + "~" + uuid.NewString()[:8]
 	t := e.newTerm(ctx, incarnation)
 	e.current.Store(t)
-	t.owner.TakeEvacuations(e.evacuations.News())
+	t.owner.UpdateEvacuations(e.evacuations.News())
 	for _, b := range e.known() {
 		t.found(b)
 	}
@@ -273,7 +273,7 @@
 // Ready reports whether the box should receive new connections.
 func (e *Entry) Ready() bool {
 	t := e.current.Load()
-	return t != nil && !e.stopping.Load() && e.routes.Current() != nil && t.owner.Alive() && t.links.Linked() > 0
+	return t != nil && !e.stopping.Load() && e.routes.Current() != nil && t.owner.Running() && t.links.Linked() > 0
 }
 
 // Stop makes the box unready, waits until its jobs have ended or the context ends, and
@@ -286,7 +286,7 @@
 	}
 	ticker := time.NewTicker(tickPause)
 	defer ticker.Stop()
-	for t.owner.Live() > 0 && ctx.Err() == nil {
+	for t.owner.LiveJobs() > 0 && ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
--- a/peer/links.go
+++ b/peer/links.go
@@ -39,7 +39,7 @@
 
 // Owner is the owner whose links are kept.
 type Owner interface {
-	Alive() bool
+	Running() bool
 	LinkUp(gate string, link uint64, wake func())
 	LinkDown(gate string, link uint64)
 	Flush(gate string, link uint64) (gate.OwnerFrame, bool)
@@ -150,8 +150,8 @@
 	return ctx, cancel, g.box
 }
 
-// Some implements Peers.Some; it picks from the linked boxes.
-func (l *Links) Some(n int) []peerpb.PeerClient {
+// Sample implements Peers.Sample; it picks from the linked boxes.
+func (l *Links) Sample(n int) []peerpb.PeerClient {
 	l.mu.Lock()
 	conns := make([]*grpc.ClientConn, 0, len(l.up))
 	for _, c := range l.up {
@@ -187,7 +187,7 @@
 	backoff := minBackoff
 	var lost time.Time
 	for try := 0; ctx.Err() == nil; try++ {
-		if !l.owner.Alive() {
+		if !l.owner.Running() {
 			wait.For(ctx, minBackoff)
 			continue
 		}
