--- a/agent/home.go
+++ b/agent/home.go
@@ -109,7 +109,7 @@
 		RetryAfterMs:   kept.GetRetryAfterMs(),
 		HandledVersion: kept.GetHandledVersion(),
 		ConfigVersion:  s.node.config.Version(),
-		Config:         s.node.config.For(r.GetConfigVersion()),
+		Config:         s.node.config.UpdateFor(r.GetConfigVersion()),
 		Home:           s.node.incarnation[:],
 		Load:           s.node.load(),
 	}
--- a/agent/link.go
+++ b/agent/link.go
@@ -154,7 +154,7 @@
 	load := s.node.load()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	note := &wire.AgentNote{Load: load, ConfigVersion: s.node.config.Version(), Config: s.node.config.For(l.version)}
+	note := &wire.AgentNote{Load: load, ConfigVersion: s.node.config.Version(), Config: s.node.config.UpdateFor(l.version)}
 	if first {
 		note.Address = s.settings.Address()
 		note.Incarnation = s.node.incarnation[:]
--- a/agent/node.go
+++ b/agent/node.go
@@ -142,7 +142,7 @@
 	n.wasteOfGate(note)
 	note.Load.Waiting = uint32(n.home.Waiting())
 	note.ConfigVersion = n.config.Version()
-	note.Config = n.config.For(s.version)
+	note.Config = n.config.UpdateFor(s.version)
 	s.version = max(s.version, note.ConfigVersion)
 	s.out.push(note)
 }
--- a/agent/session.go
+++ b/agent/session.go
@@ -51,7 +51,7 @@
 	s.node.wasteOfHome(note, stream.wanted > 0)
 	stream.wanted = note.GetWant()
 	note.ConfigVersion = s.node.config.Version()
-	note.Config = s.node.config.For(stream.version)
+	note.Config = s.node.config.UpdateFor(stream.version)
 	stream.version = max(stream.version, note.ConfigVersion)
 	stream.out.push(note)
 }
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -119,7 +119,7 @@
 		if !first {
 			c.Resubmits.Add(1)
 		}
-		r, err := c.Once(ctx, http.MethodPut, id, body)
+		r, err := c.Call(ctx, http.MethodPut, id, body)
 		if err == nil && r.Outcome() != api.Unknown && r.Status != http.StatusServiceUnavailable {
 			return r, nil
 		}
@@ -139,8 +139,8 @@
 	}
 }
 
-// Once sends a single request about a submission to the current entry box.
-func (c *Client) Once(ctx context.Context, method, id string, body []byte) (*Reply, error) {
+// Call sends a single request about a submission to the current entry box.
+func (c *Client) Call(ctx context.Context, method, id string, body []byte) (*Reply, error) {
 	status, answer, err := c.call(ctx, c.currentEntry(), method, api.PathSubmissions+"/"+id, body)
 	if err != nil {
 		return nil, eris.Wrap(ErrLost, err.Error())
@@ -159,8 +159,8 @@
 	return c.entries[c.entryIndex.Load()%uint64(len(c.entries))]
 }
 
-// Next switches to the next entry box.
-func (c *Client) Next() {
+// NextEntry switches to the next entry box.
+func (c *Client) NextEntry() {
 	c.entryIndex.Add(1)
 }
 
--- a/cli/bound.go
+++ b/cli/bound.go
@@ -80,7 +80,7 @@
 func simulateSeeds(scenario *bound.Scenario, s *boundSettings, factor float64, order bound.Order) map[string]bound.Outcome {
 	total := map[string]bound.Outcome{}
 	for seed := range s.seeds {
-		for kind, o := range scenario.Play(factor, uint64(seed)+1, order, s.deadTime) {
+		for kind, o := range scenario.Simulate(factor, uint64(seed)+1, order, s.deadTime) {
 			sum := total[kind]
 			sum.Add(o)
 			total[kind] = sum
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -68,7 +68,7 @@
 	switch {
 	case errors.As(err, &exit):
 		return exit.code
-	case errors.Is(err, settings.ErrWrong):
+	case errors.Is(err, settings.ErrInvalid):
 		return ExitUsage
 	}
 	return ExitError
--- a/cli/platform.go
+++ b/cli/platform.go
@@ -90,7 +90,7 @@
 			}
 			o := platformOptions(s, f.logger(observe.NewBoundedWriter(os.Stdout)))
 			o.Advertise = f.advertise
-			stop := platform.Reload(s, o.Log)
+			stop := platform.ReloadOnHangup(s, o.Log)
 			defer stop()
 			engine, stopPolicies, err := loadPolicies(f.policies, o.Metrics, o.Log)
 			if err != nil {
@@ -117,7 +117,7 @@
 	if !ok {
 		log.Info("The settings state no store rates; all jobs are kept in one part of the store.", "node", s.Node)
 	}
-	if resubmit := s.Resubmit(); resubmit > 0 && resubmit < node.LeastResubmit {
+	if resubmit := s.ResubmitAfter(); resubmit > 0 && resubmit < node.LeastResubmit {
 		log.Info("Callers may resubmit before all runs of a lost entry box have ended.", "node", s.Node,
 			"retransmitMS", resubmit.Milliseconds(), "overMS", node.LeastResubmit.Milliseconds())
 	}
@@ -129,9 +129,9 @@
 	nodeLog := log.WithValues("node", s.Node)
 	unreadable := observe.NewUnreadable(nodeLog, metrics)
 	return node.Options{
-		Node: s.Node, Zone: s.Zone, Wide: s.Wide(), Service: s.Service, Listen: s.InternalAddress(), Seeds: s.SeedAddresses(),
-		Parts: parts, MaxHold: s.MaxHold(), KeepFinished: s.KeepFinished(), Resubmit: s.Resubmit(),
-		Evacuate: s.Evacuate(), ReadEvacuations: platform.ReadEvacuations,
+		Node: s.Node, Domain: s.Zone, HubCapable: s.CanRelay(), Service: s.Service, Listen: s.InternalAddress(), Seeds: s.SeedAddresses(),
+		Parts: parts, MaxLease: s.MaxHold(), KeepFinished: s.KeepFinished(), ResubmitDelay: s.ResubmitAfter(),
+		EvacuationBound: s.EvacuationDeadline(), ReadEvacuations: platform.ReadEvacuations,
 		Store: platform.NewStore(s, unreadable), Metrics: metrics, Log: nodeLog, Unreadable: unreadable,
 	}
 }
--- a/cli/settings.go
+++ b/cli/settings.go
@@ -51,7 +51,7 @@
 			if s.Required {
 				def = "(required)"
 			}
-			fmt.Fprintf(w, "| `--%s` | `%s` | %s | %s | %s |\n", s.Name, s.Env(), def, s.Usage, s.Right)
+			fmt.Fprintf(w, "| `--%s` | `%s` | %s | %s | %s |\n", s.Name, s.Env(), def, s.Usage, s.Valid)
 		}
 	}
 }
--- a/config/document_test.go
+++ b/config/document_test.go
@@ -87,7 +87,7 @@
 	if h.Version() != 5 || len(seen) != 2 {
 		t.Errorf("version %d, seen %v", h.Version(), seen)
 	}
-	if h.For(5) != nil || h.For(4).GetVersion() != 5 {
+	if h.UpdateFor(5) != nil || h.UpdateFor(4).GetVersion() != 5 {
 		t.Error("For attaches the configuration for a peer that is up to date, or omits it for one that is behind")
 	}
 }
--- a/config/holder.go
+++ b/config/holder.go
@@ -105,9 +105,9 @@
 	return nil
 }
 
-// For returns the configuration to attach to a message for a peer that has the
+// UpdateFor returns the configuration to attach to a message for a peer that has the
 // given version: the current one if the peer's is older, otherwise nil.
-func (h *Holder) For(peer uint64) *wire.Config {
+func (h *Holder) UpdateFor(peer uint64) *wire.Config {
 	a := h.Current()
 	if a == nil || a.Version <= peer {
 		return nil
--- a/dispatch/final.go
+++ b/dispatch/final.go
@@ -75,7 +75,7 @@
 // Answer returns what the home would say of an id. An id that it never saw did
 // not run and never will.
 func (l *FinalLedger) Answer(v id.ID, member string) *wire.SubmitReply {
-	if v.Incarnation != l.incarnation || !v.Belongs(l.secret, member) || v.Block >= l.next {
+	if v.Incarnation != l.incarnation || !v.Verify(l.secret, member) || v.Block >= l.next {
 		return reply(wire.Outcome_OUTCOME_NO_SUCH_ID, reasonNoSuchID, "")
 	}
 	if v.Block < l.lowest {
--- a/dispatch/ledger.go
+++ b/dispatch/ledger.go
@@ -100,7 +100,7 @@
 	if v.Incarnation != l.incarnation {
 		return reply(wire.Outcome_OUTCOME_WRONG_HOME, reasonWrongHome, ""), nil
 	}
-	if !v.Belongs(l.secret, member) || v.Block >= l.next {
+	if !v.Verify(l.secret, member) || v.Block >= l.next {
 		return reply(wire.Outcome_OUTCOME_NO_SUCH_ID, reasonNoSuchID, ""), nil
 	}
 	if v.Block < l.lowest {
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -99,7 +99,7 @@
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	reply, err := e.reach(ctx, v, func(ctx context.Context, c wire.HomeClient) (*wire.SubmitReply, error) {
-		r.Config = e.config.For(e.fleet.version(v.Home.String()))
+		r.Config = e.config.UpdateFor(e.fleet.version(v.Home.String()))
 		return c.Submit(ctx, r)
 	})
 	return e.settle(ctx, v, r.GetMember(), reply, err)
--- a/entry/link.go
+++ b/entry/link.go
@@ -146,7 +146,7 @@
 		changed := l.config.Changed()
 		told.Lock()
 		note.ConfigVersion = l.config.Version()
-		note.Config = l.config.For(version)
+		note.Config = l.config.UpdateFor(version)
 		version = max(version, note.ConfigVersion)
 		told.Unlock()
 		if first || note.Config != nil || note.Drain {
--- a/id/id.go
+++ b/id/id.go
@@ -107,9 +107,9 @@
 	return v
 }
 
-// Belongs reports whether the id was created for the member by the home with the
+// Verify reports whether the id was created for the member by the home with the
 // secret.
-func (v ID) Belongs(s Secret, member string) bool {
+func (v ID) Verify(s Secret, member string) bool {
 	key := s.BlockKey(v.Block)
 	want := v.sign(key[:], member)
 	return hmac.Equal(want[:], v.tag[:])
--- a/id/id_test.go
+++ b/id/id_test.go
@@ -18,7 +18,7 @@
 	if err != nil || got != v {
 		t.Fatalf("%v, %v", got, err)
 	}
-	if !got.Belongs(s, "ghanta") || got.Belongs(s, "acquirer") || got.Belongs(NewSecret(), "ghanta") {
+	if !got.Verify(s, "ghanta") || got.Verify(s, "acquirer") || got.Verify(NewSecret(), "ghanta") {
 		t.Error("the tag does not authenticate the member and the secret")
 	}
 }
--- a/internal/standin/executor.go
+++ b/internal/standin/executor.go
@@ -25,10 +25,10 @@
 	MaxHold time.Duration
 	// Work returns a run's duration and how it ends.
 	Work func(job.RunName) (time.Duration, gate.EndKind)
-	// FirstClock is the executor's clock at its start, in milliseconds.
-	FirstClock int64
-	// Slow is the fraction of time that the executor's clock loses, from 0 to MostSlow.
-	Slow float64
+	// StartClockMS is the executor's clock at its start, in milliseconds.
+	StartClockMS int64
+	// ClockDrift is the fraction of time that the executor's clock loses, from 0 to MaxClockDrift.
+	ClockDrift float64
 
 	mu      sync.Mutex
 	started time.Time
@@ -73,14 +73,14 @@
 	Noted  bool
 }
 
-// MostSlow is the largest clock drift that the users' platform allows.
-const MostSlow = 0.02
+// MaxClockDrift is the largest clock drift that the users' platform allows.
+const MaxClockDrift = 0.02
 
 // NewExecutor returns an executor without runs.
 func NewExecutor(life string, capacity job.Resources, work func(job.RunName) (time.Duration, gate.EndKind)) *Executor {
 	started := time.Now()
 	return &Executor{
-		Life: life, Born: started.UnixMilli(), Capacity: capacity, MaxHold: time.Second, Work: work, FirstClock: defaultFirstClock, started: started,
+		Life: life, Born: started.UnixMilli(), Capacity: capacity, MaxHold: time.Second, Work: work, StartClockMS: defaultFirstClock, started: started,
 		running: map[job.RunName]*executorRun{}, highestRun: map[job.TaskName]int{}, changed: make(chan struct{}),
 	}
 }
@@ -99,12 +99,12 @@
 	return e.down
 }
 
-// Again returns the executor's next incarnation under the same id. It has no runs and no
+// Restarted returns the executor's next incarnation under the same id. It has no runs and no
 // fencing token, and its clock and counters start over.
-func (e *Executor) Again() *Executor {
+func (e *Executor) Restarted() *Executor {
 	next := NewExecutor(e.Life, e.Capacity, e.Work)
 	next.MaxHold = e.MaxHold
-	next.Slow = e.Slow
+	next.ClockDrift = e.ClockDrift
 	// Incarnations must differ even if they start within the same millisecond.
 	next.Born = max(next.Born, e.Born+1)
 	return next
@@ -137,11 +137,11 @@
 	return append([]Span(nil), e.journal...)
 }
 
-// defaultFirstClock is the default of Executor.FirstClock, in milliseconds.
+// defaultFirstClock is the default of Executor.StartClockMS, in milliseconds.
 const defaultFirstClock = 1000
 
 func (e *Executor) clock(now time.Time) int64 {
-	return e.FirstClock + time.Duration(float64(now.Sub(e.started))*(1-e.Slow)).Milliseconds()
+	return e.StartClockMS + time.Duration(float64(now.Sub(e.started))*(1-e.ClockDrift)).Milliseconds()
 }
 
 // advance ends the runs that were due by now, by their duration or the end of the lease,
@@ -174,8 +174,8 @@
 
 // timeAtClock returns the time at which the executor's clock shows clockMS.
 func (e *Executor) timeAtClock(clockMS int64) time.Time {
-	onClock := time.Duration(clockMS-e.FirstClock) * time.Millisecond
-	return e.started.Add(time.Duration(float64(onClock) / (1 - e.Slow)))
+	onClock := time.Duration(clockMS-e.StartClockMS) * time.Millisecond
+	return e.started.Add(time.Duration(float64(onClock) / (1 - e.ClockDrift)))
 }
 
 // endTime returns the time at which a run ends if the lease expires at lapse.
--- a/internal/standin/executor_test.go
+++ b/internal/standin/executor_test.go
@@ -72,7 +72,7 @@
 		end  gate.EndKind
 	}{
 		{"1 lease lapses", 0, func(*testing.T, *Executor, job.RunName) {}, time.Second, gate.EndLapsed},
-		{"2 lease lapses on a slow clock", MostSlow, func(*testing.T, *Executor, job.RunName) {}, 1020408 * time.Microsecond, gate.EndLapsed},
+		{"2 lease lapses on a slow clock", MaxClockDrift, func(*testing.T, *Executor, job.RunName) {}, 1020408 * time.Microsecond, gate.EndLapsed},
 		{"3 crash", 0, func(_ *testing.T, e *Executor, _ job.RunName) { e.Crash() }, 400 * time.Millisecond, gate.EndLost},
 		{"4 stop", 0, func(t *testing.T, e *Executor, n job.RunName) {
 			if _, err := e.Stop(context.Background(), gate.Life{}, gate.StopCall{Name: n, Fence: 1}); err != nil {
@@ -94,7 +94,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				e := NewExecutor("i-1", job.Resources{CPU: 1}, longWork)
-				e.Slow = tc.slow
+				e.ClockDrift = tc.slow
 				name := startLong(t, e)
 				<-time.After(400 * time.Millisecond)
 				tc.do(t, e, name)
--- a/internal/standin/executorwire.go
+++ b/internal/standin/executorwire.go
@@ -29,22 +29,22 @@
 	Need       job.Resources
 	Service    string
 	current    atomic.Pointer[Executor]
-	loseOrders atomic.Pointer[LoseOrders]
+	loseOrders atomic.Pointer[CallFaults]
 }
 
-// Loss is the fault that is applied to a call; the zero value is none.
-type Loss struct {
+// CallFault is the fault that is applied to a call; the zero value is none.
+type CallFault struct {
 	// Unanswered calls get no answer.
 	Unanswered bool
 	// Late is the delay after which an unanswered call is carried out; 0 means never.
 	Late time.Duration
 }
 
-// LoseOrders returns the fault for a call of the given kind.
-type LoseOrders func(kind string) Loss
+// CallFaults returns the fault for a call of the given kind.
+type CallFaults func(kind string) CallFault
 
-// SetLoseOrders sets the faults of calls from now on; nil means none.
-func (p *ExecutorPort) SetLoseOrders(lose LoseOrders) {
+// SetCallFaults sets the faults of calls from now on; nil means none.
+func (p *ExecutorPort) SetCallFaults(lose CallFaults) {
 	if lose == nil {
 		p.loseOrders.Store(nil)
 		return
@@ -53,11 +53,11 @@
 }
 
 // loss returns the fault for a call.
-func (p *ExecutorPort) loss(kind string) Loss {
+func (p *ExecutorPort) loss(kind string) CallFault {
 	if lose := p.loseOrders.Load(); lose != nil {
 		return (*lose)(kind)
 	}
-	return Loss{}
+	return CallFault{}
 }
 
 // SetExecutor replaces the current incarnation.
@@ -232,15 +232,15 @@
 	GPU    int `json:"gpu"`
 }
 
-// Beat periodically sends heartbeats of the current incarnation to a control address until
-// the context ends.
-func (p *ExecutorPort) Beat(ctx context.Context, control string, every time.Duration) {
+// SendHeartbeats periodically sends heartbeats of the current incarnation to a control
+// address until the context ends.
+func (p *ExecutorPort) SendHeartbeats(ctx context.Context, control string, every time.Duration) {
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		if b, ok := p.Executor().Beat(); ok {
+		if b, ok := p.Executor().NextHeartbeat(); ok {
 			// A failed heartbeat is not retried; the next one follows.
-			_ = p.SendBeat(ctx, control, b)
+			_ = p.SendHeartbeat(ctx, control, b)
 		}
 		select {
 		case <-ctx.Done():
@@ -255,8 +255,8 @@
 // errNotAcknowledged is returned for a heartbeat that got a status other than 200.
 var errNotAcknowledged = errors.New("standin: heartbeat not acknowledged")
 
-// SendBeat sends a heartbeat to a control address. It returns nil if it was acknowledged.
-func (p *ExecutorPort) SendBeat(ctx context.Context, control string, b Beat) error {
+// SendHeartbeat sends a heartbeat to a control address. It returns nil if it was acknowledged.
+func (p *ExecutorPort) SendHeartbeat(ctx context.Context, control string, b Heartbeat) error {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	body, err := json.Marshal(p.heartbeatBody(b))
@@ -279,7 +279,7 @@
 	return nil
 }
 
-func (p *ExecutorPort) heartbeatBody(b Beat) heartbeatOnWire {
+func (p *ExecutorPort) heartbeatBody(b Heartbeat) heartbeatOnWire {
 	state := "ready"
 	if b.Draining {
 		state = "draining"
--- a/internal/standin/heartbeat.go
+++ b/internal/standin/heartbeat.go
@@ -20,19 +20,19 @@
 	return e.draining
 }
 
-// Beat returns the executor's next heartbeat; ok is false while the executor is down.
-func (e *Executor) Beat() (b Beat, ok bool) {
+// NextHeartbeat returns the executor's next heartbeat; ok is false while the executor is down.
+func (e *Executor) NextHeartbeat() (b Heartbeat, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.down {
-		return Beat{}, false
+		return Heartbeat{}, false
 	}
 	e.heartbeats++
-	return Beat{Life: e.Life, Born: e.Born, Capacity: e.Capacity, ClockMS: e.clock(time.Now()), Sequence: e.heartbeats, Draining: e.draining}, true
+	return Heartbeat{Life: e.Life, Born: e.Born, Capacity: e.Capacity, ClockMS: e.clock(time.Now()), Sequence: e.heartbeats, Draining: e.draining}, true
 }
 
-// Beat is the content of a heartbeat.
-type Beat struct {
+// Heartbeat is the content of a heartbeat.
+type Heartbeat struct {
 	Life     string
 	Born     int64
 	Capacity job.Resources
--- a/internal/standin/target.go
+++ b/internal/standin/target.go
@@ -53,8 +53,8 @@
 	Target string `json:"target"`
 }
 
-// Started is an entry of the start log.
-type Started struct {
+// StartEntry is an entry of the start log.
+type StartEntry struct {
 	Task   string    `json:"task"`
 	Member string    `json:"member"`
 	Kind   string    `json:"kind"`
@@ -70,7 +70,7 @@
 	mu      sync.Mutex
 	running int
 	faults  TargetFaults
-	starts  []Started
+	starts  []StartEntry
 	usage   []usageSample
 }
 
@@ -98,10 +98,10 @@
 }
 
 // Starts returns the start log.
-func (t *Target) Starts() []Started {
+func (t *Target) Starts() []StartEntry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return append([]Started{}, t.starts...)
+	return append([]StartEntry{}, t.starts...)
 }
 
 // Handler returns the HTTP interface of a target.
@@ -168,7 +168,7 @@
 		return t.faults, false
 	}
 	t.setRunning(t.running + 1)
-	t.starts = append(t.starts, Started{
+	t.starts = append(t.starts, StartEntry{
 		Task:   r.Header.Get(target.HeaderTask),
 		Member: r.Header.Get(target.HeaderMember),
 		Kind:   r.Header.Get(target.HeaderKind),
--- a/load/bound/bound_test.go
+++ b/load/bound/bound_test.go
@@ -20,16 +20,16 @@
 
 func TestPlay(t *testing.T) {
 	for _, order := range []Order{OrderSlack, OrderWorth} {
-		light := singleTaskScenario(100_000, 10).Play(1, 1, order, 0)["k"]
+		light := singleTaskScenario(100_000, 10).Simulate(1, 1, order, 0)["k"]
 		if light.Jobs == 0 || light.InTime != light.Jobs || light.Earned != light.Worth {
 			t.Errorf("%s, enough capacity: %+v", order, light)
 		}
 		// One task of 100 ms runs at a time: 10 of the 40 jobs per second.
-		heavy := singleTaskScenario(1000, 40).Play(1, 1, order, 0)["k"]
+		heavy := singleTaskScenario(1000, 40).Simulate(1, 1, order, 0)["k"]
 		if heavy.InTime < 80 || heavy.InTime > 105 || heavy.Late != 0 || heavy.InTime+heavy.Dropped != heavy.Jobs {
 			t.Errorf("%s, a quarter of the capacity: %+v", order, heavy)
 		}
-		delayed := singleTaskScenario(1000, 40).Play(1, 1, order, 100*time.Millisecond)["k"]
+		delayed := singleTaskScenario(1000, 40).Simulate(1, 1, order, 100*time.Millisecond)["k"]
 		if delayed.InTime > heavy.InTime*2/3 {
 			t.Errorf("%s: %d in time when each task occupies its target twice as long, %d otherwise", order, delayed.InTime, heavy.InTime)
 		}
--- a/load/bound/simulation.go
+++ b/load/bound/simulation.go
@@ -35,10 +35,10 @@
 	o.Earned += other.Earned
 }
 
-// Play simulates the load with its rates multiplied by a factor and returns the
+// Simulate simulates the load with its rates multiplied by a factor and returns the
 // outcome of each kind by name. Each task occupies its target for deadTime
 // after its run.
-func (s *Scenario) Play(factor float64, seed uint64, order Order, deadTime time.Duration) map[string]Outcome {
+func (s *Scenario) Simulate(factor float64, seed uint64, order Order, deadTime time.Duration) map[string]Outcome {
 	sim := &simulation{order: order, deadTime: float64(deadTime.Microseconds()) / 1000}
 	for _, t := range s.Targets {
 		for range t.Count {
--- a/load/report.go
+++ b/load/report.go
@@ -35,7 +35,7 @@
 	Wrong int          `json:"wrong"`
 	Kinds []KindReport `json:"kinds"`
 	// Reference is the distribution of ratios with a central queue without latency.
-	Reference Spread `json:"reference"`
+	Reference Summary `json:"reference"`
 
 	samples []sample
 }
@@ -47,16 +47,16 @@
 	Tasks    int            `json:"tasks"`
 	Outcomes map[string]int `json:"outcomes"`
 	// Ratio is the response time of complete submissions divided by the ideal.
-	Ratio Spread `json:"ratio"`
+	Ratio Summary `json:"ratio"`
 	// ResponseMS is the response time of complete submissions in milliseconds.
-	ResponseMS Spread `json:"response_ms"`
+	ResponseMS Summary `json:"response_ms"`
 	// RefusedMS is the response time in milliseconds of submissions that were not
 	// run.
-	RefusedMS Spread `json:"refused_ms"`
+	RefusedMS Summary `json:"refused_ms"`
 }
 
-// Spread holds the mean and percentiles of a distribution.
-type Spread struct {
+// Summary holds the mean and percentiles of a distribution.
+type Summary struct {
 	Mean float64 `json:"mean"`
 	P50  float64 `json:"p50"`
 	P99  float64 `json:"p99"`
@@ -142,9 +142,9 @@
 	_ = h.RecordValue(max(1, min(v, maxRatio*100)))
 }
 
-func spread(h *hdrhistogram.Histogram) Spread {
+func spread(h *hdrhistogram.Histogram) Summary {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / ratioUnit }
-	return Spread{Mean: h.Mean() / ratioUnit, P50: at(50), P99: at(99), P999: at(99.9)}
+	return Summary{Mean: h.Mean() / ratioUnit, P50: at(50), P99: at(99), P999: at(99.9)}
 }
 
 // WriteText writes the report as a table.
--- a/member/rows_test.go
+++ b/member/rows_test.go
@@ -118,7 +118,7 @@
 		// its history.
 		s.LoseWaiting()
 		drop(all[4])
-		s.Forget()
+		s.DropHistory()
 		known.waitUntil(t, "another is gone", len(all)-2, &all[4])
 	})
 }
--- a/node/agent.go
+++ b/node/agent.go
@@ -40,7 +40,7 @@
 		options: o, target: target, listener: listener, log: o.Log,
 		driver: gate.NewDriver(ctx, g, target, o.Log),
 		seeds:  newSeeds(o.Seeds, o.Advertise, o.Metrics),
-		box:    member.Box{Node: o.Node, Role: member.RoleAgent, Zone: o.Zone, Address: o.Advertise, Incarnation: incarnation},
+		box:    member.Box{Node: o.Node, Role: member.RoleAgent, Zone: o.Domain, Address: o.Advertise, Incarnation: incarnation},
 	}
 	a.gauges()
 	return a, nil
--- a/node/bounds_test.go
+++ b/node/bounds_test.go
@@ -33,7 +33,7 @@
 // options returns the options of a box under the bounds.
 func (b virtualBounds) options(node string) Options {
 	return Options{
-		Node: node, Parts: 1, MaxHold: b.maxHold, Resubmit: b.resubmit, Evacuate: b.evacuate, KeepFinished: b.keepFinished,
+		Node: node, Parts: 1, MaxLease: b.maxHold, ResubmitDelay: b.resubmit, EvacuationBound: b.evacuate, KeepFinished: b.keepFinished,
 		Metrics: observe.NewMetrics(), Log: logr.Discard(),
 	}
 }
@@ -73,7 +73,7 @@
 				inBubbleWith(t, bounds, func(s *virtualSite) {
 					s.submitBestEffort()
 					x := s.agents[0].target
-					again := func() { x.begin(x.newest().Again()) }
+					again := func() { x.begin(x.newest().Restarted()) }
 					s.play(time.Second, event{0, func() { x.crash(false) }}, event{500 * time.Millisecond, again})
 					s.checkOpens(500 * time.Millisecond)
 				})
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -92,7 +92,7 @@
 
 func (c *cluster) options(node string) Options {
 	return Options{
-		Node: node, Zone: "zone-a", Listen: "127.0.0.1:0", Parts: 2, MaxHold: time.Second, KeepFinished: time.Minute,
+		Node: node, Domain: "zone-a", Listen: "127.0.0.1:0", Parts: 2, MaxLease: time.Second, KeepFinished: time.Minute,
 		Store: c.store, Metrics: observe.NewMetrics(), Log: logr.Discard(),
 	}
 }
@@ -103,12 +103,12 @@
 
 // followTest is a FollowOperator that provides a fixed configuration.
 func followTest(_ context.Context, _ rowstore.Store, to Operator, _ logr.Logger) {
-	to.Routes.Take(&route.Table{Version: 1, Routes: []route.Route{{Host: "h", Prefix: "/a/", Queue: testQueue()}}})
+	to.Routes.Update(&route.Table{Version: 1, Routes: []route.Route{{Host: "h", Prefix: "/a/", Queue: testQueue()}}})
 }
 
 func (c *cluster) startEntry(i int) *box[*Entry] {
 	o := c.options(fmt.Sprintf("entry-%d", i))
-	o.Wide = c.wide != nil && c.wide(i)
+	o.HubCapable = c.wide != nil && c.wide(i)
 	e, err := NewEntry(o, followTest)
 	if err != nil {
 		c.t.Fatal(err)
--- a/node/contact.go
+++ b/node/contact.go
@@ -18,17 +18,17 @@
 
 // lease returns the lease to request: longestLease or the limit of the platform.
 func (o *Options) lease() time.Duration {
-	if o.MaxHold <= 0 {
+	if o.MaxLease <= 0 {
 		return longestLease
 	}
-	return min(longestLease, o.MaxHold)
+	return min(longestLease, o.MaxLease)
 }
 
 // LeastLease is the shortest limit on leases that is supported: gates renew after a
 // quarter of the lease, and the call takes time too.
 const LeastLease = 200 * time.Millisecond
 
-// Times of best-effort jobs. Callers resubmit them to another entry box Options.Resubmit
+// Times of best-effort jobs. Callers resubmit them to another entry box Options.ResubmitDelay
 // after a lost answer; all runs that the first owner has started must have ended by then.
 const (
 	// defaultResubmitDelay also replaces longer delays of the platform, since owners presume
@@ -49,7 +49,7 @@
 // bestEffortContactTimeout returns how long a gate continues runs of best-effort jobs
 // without hearing from their owner.
 func (o *Options) bestEffortContactTimeout() time.Duration {
-	resubmit := o.Resubmit
+	resubmit := o.ResubmitDelay
 	if resubmit <= 0 || resubmit > defaultResubmitDelay {
 		resubmit = defaultResubmitDelay
 	}
@@ -58,7 +58,7 @@
 
 // gateOptions returns the options of an agent's gate.
 func gateOptions(o Options, incarnation string) gate.Options {
-	return gate.Options{Node: o.Node, Incarnation: incarnation, Domain: o.Zone, Service: o.Service, Lease: o.lease(), LongestLease: o.MaxHold, Contact: contactTimeout, BestEffortContact: o.bestEffortContactTimeout()}
+	return gate.Options{Node: o.Node, Incarnation: incarnation, Domain: o.Domain, Service: o.Service, Lease: o.lease(), LongestLease: o.MaxLease, Contact: contactTimeout, BestEffortContact: o.bestEffortContactTimeout()}
 }
 
 // ownerOptions returns the options of the owner of an incarnation.
--- a/node/contact_test.go
+++ b/node/contact_test.go
@@ -14,7 +14,7 @@
 		{time.Second, 550 * time.Millisecond},
 		{700 * time.Millisecond, minBestEffortContactTimeout},
 	} {
-		o := Options{Resubmit: tc.resubmit}
+		o := Options{ResubmitDelay: tc.resubmit}
 		if got := o.bestEffortContactTimeout(); got != tc.want {
 			t.Errorf("resubmission after %v: contact %v, want %v", tc.resubmit, got, tc.want)
 		}
@@ -28,7 +28,7 @@
 	// (bestEffortLapse); over is computed as owner.overAfter does.
 	const sinceHeard, lapse = 500 * time.Millisecond, 400 * time.Millisecond
 	for _, resubmit := range []time.Duration{1300 * time.Millisecond, 2 * time.Second, 3 * time.Second, 5 * time.Second} {
-		o := Options{Resubmit: resubmit, MaxHold: time.Second}
+		o := Options{ResubmitDelay: resubmit, MaxLease: time.Second}
 		g := gateOptions(o, "a~1")
 		over := g.Contact + g.Lease*103/100 + 250*time.Millisecond
 		if most := sinceHeard + g.BestEffortContact + lapse; most > over {
--- a/node/entry.go
+++ b/node/entry.go
@@ -29,14 +29,14 @@
 
 // Options configure a box.
 type Options struct {
-	Node string
-	Zone string
+	Node   string
+	Domain string
 	// Service is the service that the agent's target belongs to; empty if unknown.
 	Service string
 	// Listen is the address to listen on for other boxes.
 	Listen string
-	// Wide says that the box has enough network bandwidth to be a hub for others.
-	Wide bool
+	// HubCapable says that the box has enough network bandwidth to be a hub for others.
+	HubCapable bool
 	// Advertise is the address that other boxes connect to; if empty, the listen
 	// address.
 	Advertise string
@@ -44,15 +44,15 @@
 	Seeds []string
 	// Parts is the number of parts that the jobs in the store are divided into.
 	Parts int
-	// MaxHold is the longest target lease that the platform allows.
-	MaxHold      time.Duration
+	// MaxLease is the longest target lease that the platform allows.
+	MaxLease     time.Duration
 	KeepFinished time.Duration
-	// Resubmit is how long after a lost answer callers resubmit a best-effort job, possibly
-	// to another entry box; 0 for the default.
-	Resubmit time.Duration
-	// Evacuate is how long after the acknowledgement of an evacuation tasks may still
+	// ResubmitDelay is how long after a lost answer callers resubmit a best-effort job,
+	// possibly to another entry box; 0 for the default.
+	ResubmitDelay time.Duration
+	// EvacuationBound is how long after the acknowledgement of an evacuation tasks may still
 	// start in the failure domain; 0 for the default.
-	Evacuate time.Duration
+	EvacuationBound time.Duration
 	// ReadEvacuations reads the evacuations from the store. It may be nil; the agent then
 	// learns of them from owners only.
 	ReadEvacuations ReadEvacuations
--- a/node/evacuation.go
+++ b/node/evacuation.go
@@ -18,7 +18,7 @@
 
 // Times of the evacuation watch.
 const (
-	// defaultEvacuationBound is the default of Options.Evacuate.
+	// defaultEvacuationBound is the default of Options.EvacuationBound.
 	defaultEvacuationBound = 5 * time.Second
 	// evacuationReserve is how long before the bound an agent reads the store itself: time
 	// for the next check and for two reads that time out, one direct and one through a peer.
@@ -46,7 +46,7 @@
 }
 
 func newEvacuationWatch(o Options, s rowstore.Store, d *gate.Driver) *evacuationWatch {
-	bound := o.Evacuate
+	bound := o.EvacuationBound
 	if bound <= 0 {
 		bound = defaultEvacuationBound
 	}
--- a/node/latestart_test.go
+++ b/node/latestart_test.go
@@ -63,7 +63,7 @@
 		for _, late := range a.target.withheldTries() {
 			a.target.crash(dark)
 			wait.For(s.ctx, down)
-			next := a.target.newest().Again()
+			next := a.target.newest().Restarted()
 			next.Work = func(job.RunName) (time.Duration, gate.EndKind) { return lateTask, gate.EndDone }
 			a.target.begin(next)
 			wait.For(s.ctx, after)
--- a/node/random_test.go
+++ b/node/random_test.go
@@ -127,7 +127,7 @@
 	case 4:
 		c.store.SetFault(everyThird(rowstore.FaultLoseCall))
 	case 5:
-		c.store.Forget()
+		c.store.DropHistory()
 		c.store.SetFault(nil)
 	case 6:
 		e := c.targets[random.IntN(len(c.targets))]
--- a/node/restart_test.go
+++ b/node/restart_test.go
@@ -176,7 +176,7 @@
 			return
 		}
 		r.record("the target of %s crashes for %v, dark %v, same id %v", a.name, down, dark, sameID)
-		last, ok := e.Beat()
+		last, ok := e.NextHeartbeat()
 		a.target.crash(dark)
 		time.AfterFunc(down, func() { r.restartTarget(a, sameID) })
 		if ok && r.random.IntN(2) == 0 {
@@ -202,7 +202,7 @@
 			return
 		}
 		e.Drain()
-		if beat, ok := e.Beat(); ok && a.running().driver.Heartbeat(heartbeatOf(beat)) {
+		if beat, ok := e.NextHeartbeat(); ok && a.running().driver.Heartbeat(heartbeatOf(beat)) {
 			r.record("the target of %s drains", a.name)
 			r.draining[e] = time.Now()
 		}
@@ -235,7 +235,7 @@
 
 // sendLate delivers a late message of a former target: a heartbeat, a draining heartbeat or
 // a deregistration.
-func (r *restartPlay) sendLate(a *agentBox, last standin.Beat, after time.Duration) {
+func (r *restartPlay) sendLate(a *agentBox, last standin.Heartbeat, after time.Duration) {
 	kind := r.random.IntN(3)
 	last.Draining = kind == 1
 	time.AfterFunc(after, func() {
@@ -254,14 +254,14 @@
 	if !old.Down() {
 		return
 	}
-	next := old.Again()
+	next := old.Restarted()
 	if !sameID {
 		next.Life = fmt.Sprintf("%s+", old.Life)
 	}
 	// The target's clock may start at any value.
-	next.FirstClock = []int64{1, 1000, 500_000}[next.Born%3]
+	next.StartClockMS = []int64{1, 1000, 500_000}[next.Born%3]
 	a.target.begin(next)
-	if beat, ok := next.Beat(); ok {
+	if beat, ok := next.NextHeartbeat(); ok {
 		a.running().driver.Heartbeat(heartbeatOf(beat))
 	}
 }
--- a/node/term.go
+++ b/node/term.go
@@ -44,7 +44,7 @@
 }
 
 func (e *Entry) newTerm(ctx context.Context, incarnation string) *term {
-	box := member.Box{Node: e.options.Node, Role: member.RoleEntry, Zone: e.options.Zone, Address: e.options.Advertise, Incarnation: incarnation, Wide: e.options.Wide}
+	box := member.Box{Node: e.options.Node, Role: member.RoleEntry, Zone: e.options.Domain, Address: e.options.Advertise, Incarnation: incarnation, Wide: e.options.HubCapable}
 	var parts []string
 	for i := range e.options.Parts {
 		parts = append(parts, owner.PartName(i))
--- a/node/virtualagent_test.go
+++ b/node/virtualagent_test.go
@@ -53,7 +53,7 @@
 	p := &agentProcess{wakes: map[*virtualLink]func(){}}
 	p.ctx, p.kill = context.WithCancel(b.site.ctx)
 	o := b.site.bounds.options(b.name)
-	o.Zone = b.domain()
+	o.Domain = b.domain()
 	g := gate.New(gateOptions(o, fmt.Sprintf("%s~%d", b.name, b.count)))
 	p.driver = gate.NewDriver(p.ctx, g, &agentCalls{box: b}, b.site.log.WithName(b.name))
 	p.driver.OnReport(p.wakeLinks)
@@ -103,7 +103,7 @@
 func (b *agentBox) sendHeartbeats(p *agentProcess) {
 	wait.For(p.ctx, firstHeartbeat)
 	for b.awake.pass(p.ctx) {
-		if beat, ok := b.target.newest().Beat(); ok {
+		if beat, ok := b.target.newest().NextHeartbeat(); ok {
 			p.driver.Heartbeat(heartbeatOf(beat))
 		}
 		wait.For(p.ctx, targetHeartbeat)
@@ -111,7 +111,7 @@
 }
 
 // heartbeatOf converts a stand-in's heartbeat for the gate.
-func heartbeatOf(b standin.Beat) gate.Heartbeat {
+func heartbeatOf(b standin.Heartbeat) gate.Heartbeat {
 	return gate.Heartbeat{
 		Life: gate.Life{ID: b.Life, Born: b.Born}, Service: testService, Capacity: b.Capacity,
 		Draining: b.Draining, ClockMS: toTargetClock(b.ClockMS), Sequence: b.Sequence,
--- a/peer/hub_test.go
+++ b/peer/hub_test.go
@@ -185,7 +185,7 @@
 		for range 400 {
 			time.Sleep(time.Duration(random.IntN(400)) * time.Millisecond)
 			if forgetOdds > 0 && random.IntN(forgetOdds) == 0 {
-				m.Forget()
+				m.DropHistory()
 			}
 			if random.IntN(3) == 0 {
 				put := rowstore.Put{Key: rowstore.Key{Table: "op", Name: "config"}, Value: []byte(fmt.Sprint(len(written)))}
@@ -297,7 +297,7 @@
 			const times = 10
 			for range times {
 				configure(ctx, t, m)
-				m.Forget()
+				m.DropHistory()
 				time.Sleep(5 * time.Second)
 			}
 			if n := feed.reads.Load(); n > 2*times {
--- a/route/route.go
+++ b/route/route.go
@@ -29,8 +29,8 @@
 // Service is a pool of targets.
 type Service struct {
 	Name string
-	// Guards is true if the targets reject tasks that exceed their capacity.
-	Guards bool
+	// EnforcesCapacity is true if the targets reject tasks that exceed their capacity.
+	EnforcesCapacity bool
 }
 
 // Table is one version of the configuration.
@@ -66,8 +66,8 @@
 // Current returns the current table, or nil if there is none yet.
 func (h *Holder) Current() *Table { return h.current.Load() }
 
-// Take replaces the current table if t is newer. It reports whether it did.
-func (h *Holder) Take(t *Table) bool {
+// Update replaces the current table if t is newer. It reports whether it did.
+func (h *Holder) Update(t *Table) bool {
 	for {
 		old := h.current.Load()
 		if old != nil && old.Version >= t.Version {
--- a/rowstore/committer_test.go
+++ b/rowstore/committer_test.go
@@ -122,7 +122,7 @@
 	if err != nil || len(page.Rows) != 1 || !page.Rows[0].Gone {
 		t.Errorf("changes %+v, %v", page, err)
 	}
-	m.Forget()
+	m.DropHistory()
 	if _, err := m.Changes(context.Background(), "t", first.Version, 0); !errors.Is(err, ErrHistoryGone) {
 		t.Errorf("error %v, want the history gone", err)
 	}
--- a/rowstore/memory.go
+++ b/rowstore/memory.go
@@ -70,8 +70,8 @@
 	m.lost = make(chan struct{})
 }
 
-// Forget drops the history of changes.
-func (m *Memory) Forget() {
+// DropHistory drops the history of changes.
+func (m *Memory) DropHistory() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.forgotten = m.version
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -22,14 +22,14 @@
 // EnvPrefix is the prefix of the environment variables.
 const EnvPrefix = "RACKSPUR_"
 
-// ErrWrong is returned if any setting is invalid; its text lists all that are.
-var ErrWrong = eris.New("settings: wrong settings")
+// ErrInvalid is returned if any setting is invalid; its text lists all that are.
+var ErrInvalid = eris.New("settings: wrong settings")
 
 // Setting describes one setting.
 type Setting struct {
 	Name, Default, Usage string
-	// Right describes the valid values.
-	Right string
+	// Valid describes the valid values.
+	Valid string
 	// Required says that the setting must not be empty.
 	Required bool
 	parse    func(text string) error
@@ -57,7 +57,7 @@
 	return s.list
 }
 
-// Check parses every setting and returns an ErrWrong that lists all invalid ones.
+// Check parses every setting and returns an ErrInvalid that lists all invalid ones.
 func (s *Set) Check() error {
 	var wrong []string
 	for _, d := range s.list {
@@ -70,13 +70,13 @@
 			err = eris.New("is not set")
 		}
 		if err != nil {
-			wrong = append(wrong, fmt.Sprintf("%s=%q (%s): want %s", d.Name, text, from, d.Right))
+			wrong = append(wrong, fmt.Sprintf("%s=%q (%s): want %s", d.Name, text, from, d.Valid))
 		}
 	}
 	if len(wrong) == 0 {
 		return nil
 	}
-	return eris.Wrap(ErrWrong, strings.Join(wrong, "\n  "))
+	return eris.Wrap(ErrInvalid, strings.Join(wrong, "\n  "))
 }
 
 func (s *Set) value(d *Setting) (text, from string) {
@@ -90,7 +90,7 @@
 }
 
 func (s *Set) add(name, def, usage, right string, parse func(string) error) *Setting {
-	d := &Setting{Name: name, Default: def, Usage: usage, Right: right, parse: parse}
+	d := &Setting{Name: name, Default: def, Usage: usage, Valid: right, parse: parse}
 	d.raw = s.flags.String(name, def, usage)
 	s.list = append(s.list, d)
 	return d
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	err := s.Check()
-	if !errors.Is(err, ErrWrong) {
+	if !errors.Is(err, ErrInvalid) {
 		t.Fatalf("got %v", err)
 	}
 	for _, want := range []string{`listen="localhost" (--listen): want an IP`, `name="" (default)`, `platform="ftp://x:1"`,
--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -245,11 +245,11 @@
 }
 
 // starts returns the start logs of all targets.
-func (c *cluster) starts() []standin.Started {
+func (c *cluster) starts() []standin.StartEntry {
 	c.t.Helper()
-	var all []standin.Started
+	var all []standin.StartEntry
 	for _, target := range c.targets {
-		var list []standin.Started
+		var list []standin.StartEntry
 		if !getJSON(target.direct+standin.PathStarts, &list) {
 			c.t.Fatalf("no start log of %s", target.name)
 		}
@@ -409,9 +409,9 @@
 }
 
 // startLog returns the start log of one target.
-func (c *cluster) startLog(i int) []standin.Started {
+func (c *cluster) startLog(i int) []standin.StartEntry {
 	c.t.Helper()
-	var list []standin.Started
+	var list []standin.StartEntry
 	if !getJSON(c.targets[i].direct+standin.PathStarts, &list) {
 		c.t.Fatalf("no start log of %s", c.targets[i].name)
 	}
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -262,7 +262,7 @@
 	job := newJob(t, "swap", 1, 10)
 	answer := make(chan int, 1)
 	go func() {
-		r, err := client.Once(c.context(), method, id, mustJSON(t, job))
+		r, err := client.Call(c.context(), method, id, mustJSON(t, job))
 		if err != nil {
 			answer <- 0
 			return
--- a/test/deployment_test.go
+++ b/test/deployment_test.go
@@ -179,7 +179,7 @@
 		"platform", "agent", "--advertise", m.inbound.address)
 	ctx, cancel := context.WithCancel(context.Background())
 	d.t.Cleanup(cancel)
-	go m.port.Beat(ctx, m.ip+":"+platformControlPort, 300*time.Millisecond)
+	go m.port.SendHeartbeats(ctx, m.ip+":"+platformControlPort, 300*time.Millisecond)
 	return m
 }
 
@@ -196,7 +196,7 @@
 	e := standin.NewExecutor(fmt.Sprintf("i-%d", d.lives), job.Resources{CPU: 16000, Memory: 32768}, m.work)
 	e.MaxHold = d.bounds.maxHold
 	if d.slowClocks && d.lives%2 == 0 {
-		e.Slow = standin.MostSlow
+		e.ClockDrift = standin.MaxClockDrift
 	}
 	m.port.SetExecutor(e)
 }
@@ -214,10 +214,10 @@
 		return
 	}
 	m.former = append(m.former, old)
-	next := old.Again()
+	next := old.Restarted()
 	m.port.SetExecutor(next)
-	if beat, ok := next.Beat(); ok {
-		go func() { _ = m.port.SendBeat(context.Background(), m.ip+":"+platformControlPort, beat) }()
+	if beat, ok := next.NextHeartbeat(); ok {
+		go func() { _ = m.port.SendHeartbeat(context.Background(), m.ip+":"+platformControlPort, beat) }()
 	}
 }
 
--- a/test/notrun_test.go
+++ b/test/notrun_test.go
@@ -54,7 +54,7 @@
 			refuse: func(t *testing.T, c *cluster, id string, _ *api.Job) { drain(t, c, c.homeOf(id)) }},
 		{name: "5 cancelled before it was sent", declaration: declaration(""), reason: "cancelled", status: http.StatusServiceUnavailable,
 			refuse: func(t *testing.T, c *cluster, id string, _ *api.Job) {
-				if _, err := c.client(tokenA, 0).Once(c.context(), http.MethodDelete, id, nil); err != nil {
+				if _, err := c.client(tokenA, 0).Call(c.context(), http.MethodDelete, id, nil); err != nil {
 					t.Fatal(err)
 				}
 			}},
@@ -75,7 +75,7 @@
 			job := newJob(t, "swap", 2, 50)
 			tc.refuse(t, c, id, job)
 			for range 3 {
-				r, err := client.Once(c.context(), http.MethodPut, id, mustJSON(t, job))
+				r, err := client.Call(c.context(), http.MethodPut, id, mustJSON(t, job))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -85,7 +85,7 @@
 				c.awaitIdle()
 			}
 			c.platformFaults(standin.PlatformFaults{})
-			r, err := client.Once(c.context(), http.MethodPut, id, mustJSON(t, job))
+			r, err := client.Call(c.context(), http.MethodPut, id, mustJSON(t, job))
 			if err != nil || r.Outcome() != api.NotRun {
 				t.Errorf("the refusal changed: %v %+v", err, r)
 			}
@@ -169,7 +169,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r, err := client.Once(c.context(), http.MethodPut, id, tc.body)
+			r, err := client.Call(c.context(), http.MethodPut, id, tc.body)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -182,7 +182,7 @@
 		t.Errorf("%d tasks started", n)
 	}
 	// A job of a kind that is not repeatable is refused without an id.
-	r, err := client.Once(c.context(), http.MethodPost, "", nil)
+	r, err := client.Call(c.context(), http.MethodPost, "", nil)
 	if err != nil || r.Status < http.StatusBadRequest {
 		t.Errorf("POST without an id: %v %+v", err, r)
 	}
@@ -192,7 +192,7 @@
 		t.Fatal(err)
 	}
 	checkComplete(t, job, reply)
-	other, err := client.Once(c.context(), http.MethodPut, id, mustJSON(t, newJob(t, "swap", 1, 10)))
+	other, err := client.Call(c.context(), http.MethodPut, id, mustJSON(t, newJob(t, "swap", 1, 10)))
 	if err != nil || other.Status != http.StatusConflict {
 		t.Errorf("another job under the same id: %v %+v", err, other)
 	}
@@ -214,12 +214,12 @@
 	client := c.client(tokenA, 0)
 	id := c.id(client)
 	waitFor(t, "the id expires", func() bool {
-		r, err := client.Once(c.context(), http.MethodGet, id, nil)
+		r, err := client.Call(c.context(), http.MethodGet, id, nil)
 		return err == nil && r.Outcome() == api.Forgotten
 	})
 	job := newJob(t, "swap", 1, 10)
 	for range 2 {
-		r, err := client.Once(c.context(), http.MethodPut, id, mustJSON(t, job))
+		r, err := client.Call(c.context(), http.MethodPut, id, mustJSON(t, job))
 		if err != nil || r.Status != http.StatusGone || r.Outcome() != api.Forgotten {
 			t.Errorf("%v %+v", err, r)
 		}
--- a/test/own_test.go
+++ b/test/own_test.go
@@ -87,7 +87,7 @@
 	forged[len(forged)-2] ^= 1
 	for _, text := range []string{id, string(forged), "nonsense", strings.Repeat("A", 400)} {
 		for _, method := range []string{http.MethodGet, http.MethodPut, http.MethodDelete} {
-			r, err := b.Once(c.context(), method, text, mustJSON(t, job))
+			r, err := b.Call(c.context(), method, text, mustJSON(t, job))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/test/restart_test.go
+++ b/test/restart_test.go
@@ -137,9 +137,9 @@
 			newer.Drain()
 			var told time.Time
 			waitFor(t, "draining is acknowledged", func() bool {
-				b, ok := newer.Beat()
+				b, ok := newer.NextHeartbeat()
 				told = time.Now()
-				return ok && m.port.SendBeat(context.Background(), m.ip+":"+platformControlPort, b) == nil
+				return ok && m.port.SendHeartbeat(context.Background(), m.ip+":"+platformControlPort, b) == nil
 			})
 			pause(drainSettle)
 			d.restartJobs(time.Now().Add(drainWatch), time.Now())
--- a/test/soak_fault_test.go
+++ b/test/soak_fault_test.go
@@ -82,7 +82,7 @@
 	faults := [...]rowstore.Fault{rowstore.FaultRefuse, rowstore.FaultLoseAnswer, rowstore.FaultLoseCall}
 	if variant >= len(faults) {
 		r.note("the store loses its history")
-		r.store.Forget()
+		r.store.DropHistory()
 		return
 	}
 	r.note("store fault %d for %v", variant, lasts)
--- a/test/soak_restart_test.go
+++ b/test/soak_restart_test.go
@@ -136,7 +136,7 @@
 // restartWithLateHeartbeat restarts a target under its id. Unless kind is 0, a heartbeat
 // of the former life arrives later: ready, or draining if kind is 2.
 func (r *soakRun) restartWithLateHeartbeat(m *box, down, late time.Duration, kind int) {
-	heartbeat, ok := m.port.Executor().Beat()
+	heartbeat, ok := m.port.Executor().NextHeartbeat()
 	r.note("the target of %s crashes and restarts under its id after %v; late heartbeat %d after %v", m.name, down, kind, late)
 	r.restartTarget(m, down)
 	if !ok || kind == 0 {
@@ -145,7 +145,7 @@
 	heartbeat.Draining = kind == 2
 	pause(late)
 	// It may be refused, or the agent may be down.
-	_ = m.port.SendBeat(context.Background(), m.ip+":"+platformControlPort, heartbeat)
+	_ = m.port.SendHeartbeat(context.Background(), m.ip+":"+platformControlPort, heartbeat)
 }
 
 // drainTarget makes a target drain and announce it; ok is false if that was not
@@ -153,8 +153,8 @@
 func (r *soakRun) drainTarget(m *box) (l drainedLife, ok bool) {
 	e := m.port.Executor()
 	e.Drain()
-	beat, up := e.Beat()
-	if !up || m.port.SendBeat(context.Background(), m.ip+":"+platformControlPort, beat) != nil {
+	beat, up := e.NextHeartbeat()
+	if !up || m.port.SendHeartbeat(context.Background(), m.ip+":"+platformControlPort, beat) != nil {
 		return drainedLife{}, false
 	}
 	r.note("the target of %s drains", m.name)
--- a/test/soak_series_test.go
+++ b/test/soak_series_test.go
@@ -220,25 +220,25 @@
 func (r *soakRun) loseOrders(m *box, lasts time.Duration) {
 	r.note("series: orders to the target of %s are lost or late for %v", m.name, lasts)
 	var orders atomic.Uint64
-	m.port.SetLoseOrders(func(kind string) standin.Loss {
+	m.port.SetCallFaults(func(kind string) standin.CallFault {
 		if kind == standin.OrderHold {
-			return standin.Loss{}
+			return standin.CallFault{}
 		}
 		return orderOutcome(r.seed, orders.Add(1))
 	})
 	pause(lasts)
-	m.port.SetLoseOrders(nil)
+	m.port.SetCallFaults(nil)
 }
 
 // orderOutcome draws the outcome of an order by its number.
-func orderOutcome(seed, number uint64) standin.Loss {
+func orderOutcome(seed, number uint64) standin.CallFault {
 	random := rand.New(rand.NewPCG(seed, longOrdersPart<<32|number))
 	late := time.Duration(1 + random.Int64N(int64(maxOrderDelay)))
 	switch random.IntN(orderOutcomes) {
 	case orderLost:
-		return standin.Loss{Unanswered: true}
+		return standin.CallFault{Unanswered: true}
 	case orderLate:
-		return standin.Loss{Unanswered: true, Late: late}
+		return standin.CallFault{Unanswered: true, Late: late}
 	}
-	return standin.Loss{}
+	return standin.CallFault{}
 }
--- a/test/stop_test.go
+++ b/test/stop_test.go
@@ -107,7 +107,7 @@
 				checkLeftHome(t, c, i, done, unseen, job)
 			}
 			other := c.client(tokenB, 0)
-			r, err := other.Once(c.context(), http.MethodGet, done, nil)
+			r, err := other.Call(c.context(), http.MethodGet, done, nil)
 			if err != nil || r.Status != http.StatusNotFound {
 				t.Errorf("another member asks for an id of a home that left: %v %+v", err, r)
 			}
@@ -119,12 +119,12 @@
 func checkLeftHome(t *testing.T, c *cluster, entry int, done, unseen string, job *api.Job) {
 	t.Helper()
 	client := c.client(tokenA, entry)
-	r, err := client.Once(c.context(), http.MethodPut, done, mustJSON(t, job))
+	r, err := client.Call(c.context(), http.MethodPut, done, mustJSON(t, job))
 	if err != nil {
 		t.Fatal(err)
 	}
 	checkComplete(t, job, r)
-	r, err = client.Once(c.context(), http.MethodPut, unseen, mustJSON(t, newJob(t, "swap", 1, 10)))
+	r, err = client.Call(c.context(), http.MethodPut, unseen, mustJSON(t, newJob(t, "swap", 1, 10)))
 	if err != nil || r.Outcome() != api.NotRun {
 		t.Errorf("an unused id of a home that left: %v %+v", err, r)
 	}
