--- a/node/contact_test.go
+++ b/node/contact_test.go
@@ -24,8 +24,8 @@
 // No gate may continue a best-effort run beyond the time after which owners presume the
 // runs of a silent gate ended, whatever the resubmission delay.
 func TestBestEffortRunsAreOverWhenOwnersThinkSo(t *testing.T) {
-	// sinceHeard and lapse are constants of packages owner (mostSinceHeard) and gate
-	// (bestEffortLapse); over is computed as owner.overAfter does.
+	// sinceHeard and lapse are constants of packages owner (maxSinceHeard) and gate
+	// (bestEffortGrace); over is computed as owner.overAfter does.
 	const sinceHeard, lapse = 500 * time.Millisecond, 400 * time.Millisecond
 	for _, resubmit := range []time.Duration{1300 * time.Millisecond, 2 * time.Second, 3 * time.Second, 5 * time.Second} {
 		o := Options{ResubmitDelay: resubmit, MaxLease: time.Second}
